--- a/iristrack/__main__.py
+++ b/iristrack/__main__.py
@@ -20,7 +20,7 @@
 
 from iristrack import __version__
 from iristrack.cli import lab, state, system
-from iristrack.config import Config, ConfigError, load
+from iristrack.config import Config, ConfigError, load_config
 from iristrack.net.door import Door
 from iristrack.net.front import HttpFront
 from iristrack.net.sidecar import Sidecar
@@ -34,7 +34,7 @@
 def _reload(sidecar: Sidecar) -> None:
     """Read the configuration anew and follow discovery to where it now is; a bad file changes nothing."""
     try:
-        config = load(os.environ, again=True)
+        config = load_config(os.environ, reread=True)
     except ConfigError as fault:
         logger.error("SIGHUP: the configuration stays as it was: {}", fault)
         return
@@ -117,7 +117,7 @@
         return 0
     woken = catch_signals() if chosen.command == "serve" else None
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
     except ConfigError as fault:
         print(f"iristrack: {fault}", file=sys.stderr)
         return 2
--- a/iristrack/balance.py
+++ b/iristrack/balance.py
@@ -13,8 +13,8 @@
 from collections import deque
 
 from iristrack import interface as mi
-from iristrack.limits.cold import ColdPace
-from iristrack.limits.room import LEAST_LIMIT, Room
+from iristrack.limits.cold_start import ColdPace
+from iristrack.limits.concurrency import LEAST_LIMIT, Room
 from iristrack.placement.ranking import hash64, mix64, rank_value
 from iristrack.records import (
     BROKE,
@@ -30,7 +30,7 @@
 from iristrack.records import OpenRequest as _Open
 from iristrack.records import Server as _Server
 from iristrack.records import Suspicion as _Suspicion
-from iristrack.zones.silence import Zones
+from iristrack.zones.outage import Zones
 
 TICKS_PER_AIM = 16  # housekeeping runs so many times within the shortest aim
 TARGET = 0.5  # most of its aim that an answer should take on average: leaves as much again for its spread
@@ -84,7 +84,10 @@
     "warm_rate",
 )  # what a snapshot keeps
 LEARNED_OF_CLASS = ("mean", "dev", "base", "low", "faulty")
-ASK_AGAIN_NS = (mi.NS_PER_S // 2, mi.NS_PER_S * 11 // 10)  # after a failed call to discovery, by chance
+RESUBSCRIBE_DELAY_NS = (
+    mi.NS_PER_S // 2,
+    mi.NS_PER_S * 11 // 10,
+)  # after a failed call to discovery, by chance
 TICK, ASK_AGAIN = range(2)  # tokens of timers
 
 
@@ -92,7 +95,7 @@
     """One sidecar's balancer: feed it the clock and an event, carry out the actions it returns."""
 
     def __init__(self, settings: mi.Settings, seed: int, learned: dict | None = None) -> None:
-        """`seed` is the only source of randomness; `learned` a snapshot that `recovery.trust` has weighed."""
+        """`seed` is the only source of randomness; `learned` a snapshot that `recovery.aging` has weighed."""
         self.settings = settings
         self.random = random.Random(seed)
         self.classes = {c.name: _Class(c, TARGET, FEWEST_FAULTY) for c in settings.classes}
@@ -163,7 +166,7 @@
             "servers": {s.id: learned_of(s, now) for s in self.servers.values()},
         }
 
-    def avoided(self) -> int:
+    def ejected_server_count(self) -> int:
         """How many of the listed servers get no class's requests now, but for trials."""
         return sum(1 for s in self.ready if all(s.ejections(name) for name in self.classes))
 
@@ -189,7 +192,7 @@
         if event.kind is mi.ListKind.FAILED:
             if self.settings.ask_for_list:
                 # Out of step: calls of a fleet that failed together would fail together again.
-                self.actions.append(mi.SetTimer(ASK_AGAIN, int(self.random.uniform(*ASK_AGAIN_NS))))
+                self.actions.append(mi.SetTimer(ASK_AGAIN, int(self.random.uniform(*RESUBSCRIBE_DELAY_NS))))
             return
         if event.kind is not mi.ListKind.DELTA:
             named = {entry.server for entry in event.servers}
@@ -305,7 +308,7 @@
             return False
         if now >= server.warm_at:
             return True
-        # Guards a cold server against all balancers together: see limits/cold.py.
+        # Guards a cold server against all balancers together: see limits/cold_start.py.
         if self.shared is not None and server.budget.in_hand(now, server.inflight):
             return False
         rate = self.warm_rate
--- a/iristrack/config.py
+++ b/iristrack/config.py
@@ -27,29 +27,29 @@
 Fields = dict[str, str]
 
 
-class WireError(ValueError):
+class FieldError(ValueError):
     """A line or a setting that cannot be read."""
 
 
-def flag(text: str | None) -> bool:
+def read_bool(text: str | None) -> bool:
     """Read a yes or no."""
     return text in ("1", "true")
 
 
-def whole(fields: Fields, name: str, default: int | None = None) -> int:
+def read_int(fields: Fields, name: str, default: int | None = None) -> int:
     """Read a whole number."""
     text = fields.get(name)
     if text is None:
         if default is None:
-            raise WireError(f"field {name} is missing")
+            raise FieldError(f"field {name} is missing")
         return default
     try:
         return int(text)
     except ValueError:
-        raise WireError(f"{name}={text!r} is no whole number") from None
+        raise FieldError(f"{name}={text!r} is no whole number") from None
 
 
-def decimal(fields: Fields, name: str, default: float) -> float:
+def read_float(fields: Fields, name: str, default: float) -> float:
     """Read a number."""
     text = fields.get(name)
     if not text:
@@ -57,29 +57,29 @@
     try:
         return float(text)
     except ValueError:
-        raise WireError(f"{name}={text!r} is no number") from None
+        raise FieldError(f"{name}={text!r} is no number") from None
 
 
-def word(fields: Fields, name: str) -> str:
+def read_text(fields: Fields, name: str) -> str:
     """Read a text."""
     try:
         return fields[name]
     except KeyError:
-        raise WireError(f"field {name} is missing") from None
+        raise FieldError(f"field {name} is missing") from None
 
 
 def _class(options: Fields, at: str) -> mi.RequestClass:
     return mi.RequestClass(
-        name=word(options, at + "name"),
-        aim_ns=whole(options, at + "promise_ns"),
-        deadline_ns=whole(options, at + "deadline_ns"),
-        worth=decimal(options, at + "worth", 1.0),
-        late_share=decimal(options, at + "late_share", 0.0),
-        aim_stretch=decimal(options, at + "aim_stretch", 0.0),
+        name=read_text(options, at + "name"),
+        aim_ns=read_int(options, at + "promise_ns"),
+        deadline_ns=read_int(options, at + "deadline_ns"),
+        worth=read_float(options, at + "worth", 1.0),
+        late_share=read_float(options, at + "late_share", 0.0),
+        aim_stretch=read_float(options, at + "aim_stretch", 0.0),
         repeat=_REPEATS.get(options.get(at + "repeat", ""), mi.Repeat.UNSAFE),
         group=mi.Group(options.get(at + "group") or "all"),
-        memory_ns=whole(options, at + "memory_span_ns", 0),
-        stream=flag(options.get(at + "stream")),
+        memory_ns=read_int(options, at + "memory_span_ns", 0),
+        stream=read_bool(options.get(at + "stream")),
     )
 
 
@@ -87,53 +87,53 @@
     """Translate the start message's settings; what is unknown is skipped, what is absent gets its default."""
     o = options
     return mi.Settings(
-        classes=tuple(_class(o, f"classes.{i}.") for i in range(whole(o, "classes.count", 0))),
+        classes=tuple(_class(o, f"classes.{i}.") for i in range(read_int(o, "classes.count", 0))),
         tenants=tuple(
             mi.Tenant(
-                name=word(o, f"orgs.{i}.name"),
-                share=decimal(o, f"orgs.{i}.fraction", 0.0),
-                quota_per_s=decimal(o, f"orgs.{i}.quota_per_s", 0.0),
+                name=read_text(o, f"orgs.{i}.name"),
+                share=read_float(o, f"orgs.{i}.fraction", 0.0),
+                quota_per_s=read_float(o, f"orgs.{i}.quota_per_s", 0.0),
             )
-            for i in range(whole(o, "orgs.count", 0))
+            for i in range(read_int(o, "orgs.count", 0))
         ),
         limits=mi.Limits(
-            max_attempts=whole(o, "allowed.attempts_cap", 1),
-            max_open=whole(o, "allowed.max_open", 1 << 30),
-            cancel=flag(o.get("allowed.cancel")),
-            second_copies=flag(o.get("allowed.parallel_tries")),
-            probes=flag(o.get("allowed.probes")),
-            peers=flag(o.get("allowed.peers")),
-            retry_after=flag(o.get("allowed.retry_after")),
-            max_retry_after_ns=whole(o, "allowed.max_retry_after_ns", 0),
-            connect_timeout_ns=whole(o, "allowed.connect_timeout_ns", 0),
-            idle_ns=whole(o, "allowed.conn_idle_ns", 0),
-            requests_per_connection=whole(o, "allowed.multiplex", 1),
+            max_attempts=read_int(o, "allowed.attempts_cap", 1),
+            max_open=read_int(o, "allowed.max_open", 1 << 30),
+            cancel=read_bool(o.get("allowed.cancel")),
+            second_copies=read_bool(o.get("allowed.parallel_tries")),
+            probes=read_bool(o.get("allowed.probes")),
+            peers=read_bool(o.get("allowed.peers")),
+            retry_after=read_bool(o.get("allowed.retry_after")),
+            max_retry_after_ns=read_int(o, "allowed.max_retry_after_ns", 0),
+            connect_timeout_ns=read_int(o, "allowed.connect_timeout_ns", 0),
+            idle_ns=read_int(o, "allowed.conn_idle_ns", 0),
+            requests_per_connection=read_int(o, "allowed.multiplex", 1),
         ),
         contract=mi.Contract(
-            answer_slack_ns=whole(o, "contract.answer_slack_ns", 0),
-            drain_grace_ns=whole(o, "contract.drain_grace_ns", 0),
-            cold_share=decimal(o, "contract.cold_share", 1.0),
-            cold_ns=whole(o, "contract.cold_ns", 0),
-            overload_factor=decimal(o, "contract.overload_factor", 3.0),
-            fall_ns=whole(o, "contract.fall_ns", mi.NS_PER_S),
-            must_ask_ns=whole(o, "contract.must_ask_in_ns", 0),
+            answer_slack_ns=read_int(o, "contract.answer_slack_ns", 0),
+            drain_grace_ns=read_int(o, "contract.drain_grace_ns", 0),
+            cold_share=read_float(o, "contract.cold_share", 1.0),
+            cold_ns=read_int(o, "contract.cold_ns", 0),
+            overload_factor=read_float(o, "contract.overload_factor", 3.0),
+            fall_ns=read_int(o, "contract.fall_ns", mi.NS_PER_S),
+            must_ask_ns=read_int(o, "contract.must_ask_in_ns", 0),
         ),
         prices=mi.Prices(
-            cross_zone=decimal(o, "prices.cross_zone", 0.0),
-            waste=decimal(o, "prices.waste", 0.0),
-            late_fail=decimal(o, "prices.late_fail", 0.0),
-            probe=decimal(o, "prices.probe", 0.0),
-            handshake=decimal(o, "prices.handshake", 0.0),
-            connection=decimal(o, "prices.connection", 0.0),
+            cross_zone=read_float(o, "prices.cross_zone", 0.0),
+            waste=read_float(o, "prices.waste", 0.0),
+            late_fail=read_float(o, "prices.late_fail", 0.0),
+            probe=read_float(o, "prices.probe", 0.0),
+            handshake=read_float(o, "prices.handshake", 0.0),
+            connection=read_float(o, "prices.connection", 0.0),
         ),
-        balancers=whole(o, "balancers", 1),
+        balancers=read_int(o, "balancers", 1),
         zone=o.get("zone", ""),
         ask_for_list=o.get("membership_mode") == "ask",
         sized_weights=o.get("weight_source") in ("nominal", "rough"),
         report_fields=tuple(REPORT_NAMES.get(f, f) for f in o.get("report.fields", "").split(",") if f),
-        over_share_worth=decimal(o, "over_share_worth", 1.0),
-        resolution_ns=whole(o, "resolution_ns", mi.NS_PER_MS),
-        marks_retries=flag(o.get("clients.marks_retry")),
+        over_share_worth=read_float(o, "over_share_worth", 1.0),
+        resolution_ns=read_int(o, "resolution_ns", mi.NS_PER_MS),
+        marks_retries=read_bool(o.get("clients.marks_retry")),
     )
 
 
@@ -210,7 +210,7 @@
         return crc32(str(value).encode())
 
 
-def load(environment: Mapping[str, str], again: bool = False) -> Config:
+def load_config(environment: Mapping[str, str], reread: bool = False) -> Config:
     """Read the file that NODE_CONFIG names; the other variables stand above what it says.
 
     Read again, while the program runs, its `discovery` stands above the variable, which tells where discovery
@@ -245,7 +245,7 @@
         return Config(
             name=str(environment.get("NODE_NAME") or told.get("name") or "sidecar"),
             listen=read_address(str(environment.get("NODE_LISTEN") or told.get("listen") or "")),
-            discovery=read_address(str((now or at_start if again else at_start or now) or "")),
+            discovery=read_address(str((now or at_start if reread else at_start or now) or "")),
             seed=_seed(told.get("seed", "")),
             settings=settings,
             known=known,
--- a/iristrack/drill.py
+++ b/iristrack/drill.py
@@ -14,7 +14,16 @@
 
 from iristrack import interface as mi
 from iristrack.balance import Balancer
-from iristrack.config import REPORT_NAMES, Fields, WireError, decimal, flag, read_settings, whole, word
+from iristrack.config import (
+    REPORT_NAMES,
+    FieldError,
+    Fields,
+    read_bool,
+    read_float,
+    read_int,
+    read_settings,
+    read_text,
+)
 
 OUTCOMES = {
     "0": mi.Outcome.ERROR,
@@ -43,7 +52,7 @@
     try:
         return table[fields[name]]
     except KeyError:
-        raise WireError(f"{name}={fields.get(name)!r} is not known") from None
+        raise FieldError(f"{name}={fields.get(name)!r} is not known") from None
 
 
 def _report(text: str | None) -> dict[str, float] | None:
@@ -55,57 +64,57 @@
         try:
             report[REPORT_NAMES.get(name, name)] = float(value)
         except ValueError:
-            raise WireError(f"report value {pair!r} is no number") from None
+            raise FieldError(f"report value {pair!r} is no number") from None
     return report
 
 
 def _entry(f: Fields) -> mi.ServerEntry:
     return mi.ServerEntry(
-        server=word(f, "server"),
+        server=read_text(f, "server"),
         state=_pick(STATES, f, "lifecycle"),
         zone=f.get("campus", ""),
-        cell=whole(f, "pod", -1),
-        weight=decimal(f, "share", 1.0),
-        started_ns=whole(f, "start_time_ns", 0),
+        cell=read_int(f, "pod", -1),
+        weight=read_float(f, "share", 1.0),
+        started_ns=read_int(f, "start_time_ns", 0),
     )
 
 
 def _request(f: Fields) -> mi.Request:
     return mi.Request(
-        id=word(f, "id"),
-        request_class=word(f, "category"),
-        give_up_ns=whole(f, "not_after_ns"),
+        id=read_text(f, "id"),
+        request_class=read_text(f, "category"),
+        give_up_ns=read_int(f, "not_after_ns"),
         key=f.get("partition_key"),
         tenant=f.get("client_group"),
-        work_hint_ns=whole(f, "predicted_ns", 0),
-        retry=flag(f.get("resent")),
-        write=flag(f.get("update")),
+        work_hint_ns=read_int(f, "predicted_ns", 0),
+        retry=read_bool(f.get("resent")),
+        write=read_bool(f.get("update")),
     )
 
 
 def _started(f: Fields) -> mi.AttemptStarted:
     return mi.AttemptStarted(
-        word(f, "id"), whole(f, "copy", 0), word(f, "server"), whole(f, "time_taken_ns", 0)
+        read_text(f, "id"), read_int(f, "copy", 0), read_text(f, "server"), read_int(f, "time_taken_ns", 0)
     )
 
 
 def _ended(f: Fields) -> mi.AttemptEnded:
     return mi.AttemptEnded(
-        id=word(f, "id"),
-        attempt=whole(f, "copy", 0),
-        server=word(f, "server"),
+        id=read_text(f, "id"),
+        attempt=read_int(f, "copy", 0),
+        server=read_text(f, "server"),
         outcome=_pick(OUTCOMES, f, "verdict"),
-        final=flag(f.get("final")),
-        latency_ns=whole(f, "time_taken_ns", 0),
+        final=read_bool(f.get("final")),
+        latency_ns=read_int(f, "time_taken_ns", 0),
         report=_report(f.get("report")),
     )
 
 
 def _probed(f: Fields) -> mi.ProbeEnded:
     return mi.ProbeEnded(
-        server=word(f, "server"),
+        server=read_text(f, "server"),
         outcome=_pick(OUTCOMES, f, "verdict"),
-        latency_ns=whole(f, "time_taken_ns", 0),
+        latency_ns=read_int(f, "time_taken_ns", 0),
         report=_report(f.get("report")),
     )
 
@@ -115,16 +124,16 @@
     try:
         data = b"" if octets == "-" else base64.b64decode(octets, validate=True)
     except binascii.Error:
-        raise WireError(f"octets={octets!r} is no base64") from None
-    return mi.PeerMessage(whole(f, "src", 0), data)
+        raise FieldError(f"octets={octets!r} is no base64") from None
+    return mi.PeerMessage(read_int(f, "src", 0), data)
 
 
 READERS: dict[str, Callable[[Fields], mi.Event]] = {
     "DEMAND": _request,
     "HEADERS": _started,
     "ENDED": _ended,
-    "ABORTED": lambda f: mi.ClientGone(word(f, "id")),
-    "WAKEUP": lambda f: mi.TimerFired(whole(f, "handle")),
+    "ABORTED": lambda f: mi.ClientGone(read_text(f, "id")),
+    "WAKEUP": lambda f: mi.TimerFired(read_int(f, "handle")),
     "HEALTH_RESULT": _probed,
     "WHISPER": _peer,
 }
@@ -185,29 +194,29 @@
         for part in parts:
             key, separator, value = part.partition("=")
             if not separator:
-                raise WireError(f"field {part!r} has no value")
+                raise FieldError(f"field {part!r} has no value")
             fields[key] = value
         if self.items_due and name != "ITEM":
-            raise WireError(f"{self.items_due} list entries are missing")
+            raise FieldError(f"{self.items_due} list entries are missing")
         if name == "BATCH":
             if self.now is not None:
-                raise WireError("a batch begins inside a batch")
-            self.now = whole(fields, "at_time_ns")
+                raise FieldError("a batch begins inside a batch")
+            self.now = read_int(fields, "at_time_ns")
             self.instance = self.last_from = None
             self.reply = []
             return None
         if self.now is None:
-            raise WireError(f"{name} stands outside a batch")
+            raise FieldError(f"{name} stands outside a batch")
         if name == "FLUSH":
             self.now = None
             self.reply.append("FINISHED")
             return self.reply
         if name == "AT":
-            self.instance = word(fields, "sidecar")
+            self.instance = read_text(fields, "sidecar")
         elif name == "REGISTER":
-            self.set_id = whole(fields, "set_id")
+            self.set_id = read_int(fields, "set_id")
             self.items = []
-            self.items_due = whole(fields, "members_list", 0)
+            self.items_due = read_int(fields, "members_list", 0)
             self.lists[self.set_id] = ()
         elif name == "ITEM":
             self._item(fields)
@@ -219,7 +228,7 @@
 
     def _item(self, fields: Fields) -> None:
         if not self.items_due:
-            raise WireError("a list entry without a list")
+            raise FieldError("a list entry without a list")
         self.items.append(_entry(fields))
         self.items_due -= 1
         if not self.items_due:
@@ -228,14 +237,14 @@
     def _event(self, name: str, fields: Fields) -> None:
         instance = self.instance
         if instance is None:
-            raise WireError(f"{name} before any instance is named")
+            raise FieldError(f"{name} before any instance is named")
         if name == "BOOT":
-            seed = whole(fields, "random_seed")
+            seed = read_int(fields, "random_seed")
             self._guard(lambda: self.balancers.__setitem__(instance, Balancer(read_settings(fields), seed)))
             return
         balancer = self.balancers.get(instance)
         if balancer is None:
-            raise WireError(f"{name} for {instance}, which is not started")
+            raise FieldError(f"{name} for {instance}, which is not started")
         if name == "DESTROY":
             del self.balancers[instance]
             return
@@ -250,18 +259,18 @@
 
     def _server_list(self, fields: Fields) -> mi.ServerList:
         kind = _pick(LIST_KINDS, fields, "kind")
-        version = whole(fields, "gen", 0)
+        version = read_int(fields, "gen", 0)
         if kind is mi.ListKind.FAILED:
             return mi.ServerList(kind, (), version)
-        servers = self.lists.get(whole(fields, "set_id"))
+        servers = self.lists.get(read_int(fields, "set_id"))
         if servers is None:
-            raise WireError(f"list {fields['set_id']} was never given")
+            raise FieldError(f"list {fields['set_id']} was never given")
         return mi.ServerList(kind, servers, version)
 
     def _guard(self, call: Callable):
         try:
             return call()
-        except WireError:
+        except FieldError:
             raise
         except Exception as error:
             traceback.print_exc(file=self.errors)
@@ -279,7 +288,7 @@
         line = line.rstrip("\n")
         try:
             reply = adapter.line(line)
-        except WireError as fault:
+        except FieldError as fault:
             print(f"iristrack: line {number}: {fault}: {line[:200]}", file=errors)
             return 2
         if reply is not None:
--- a/iristrack/lab/runner.py
+++ b/iristrack/lab/runner.py
@@ -36,7 +36,7 @@
 from iristrack.emulator.world import World
 from iristrack.lab.experiment import LIAR, OURS, STATE_AGES_S, Loaded, Run, place
 from iristrack.lab.experiment import runs as all_runs
-from iristrack.recovery.trust import trust
+from iristrack.recovery.aging import age_snapshot
 
 GC_THRESHOLD = 200_000  # the emulator leaves no cycles behind that grow
 
@@ -83,7 +83,7 @@
         for server in kept["servers"].values():
             server |= {"limit": 1e9, "down": False, "silent": 0, "failed_connects": 0, "suspicions": {}}
     age = now - at + STATE_AGES_S.get(name, 0) * mi.NS_PER_S
-    return trust(kept, Balancer(settings, 0).snapshot(now), age)
+    return age_snapshot(kept, Balancer(settings, 0).snapshot(now), age)
 
 
 def build(scenario: Scenario, run: Run, keep: bool = False) -> World:
--- a/iristrack/net/sidecar.py
+++ b/iristrack/net/sidecar.py
@@ -373,7 +373,7 @@
             "forwards": figures.forwards,
             "outstanding": figures.outstanding,
             "discovered": sum(1 for target in self.links.targets.values() if target.listed),
-            "ejected": self.balancer.avoided(),
+            "ejected": self.balancer.ejected_server_count(),
         }
 
     # ---- attempts
--- a/iristrack/records.py
+++ b/iristrack/records.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from iristrack import interface as mi
-from iristrack.limits.cold import ColdBudget
-from iristrack.limits.crowd import Crowd
+from iristrack.limits.cold_start import ColdBudget
+from iristrack.limits.load_estimate import Crowd
 from iristrack.placement.ranking import hash64
 
 FIRST_BACKOFF_NS = mi.NS_PER_S // 2  # of an ejection
--- a/iristrack/recovery/trust.py
+++ b/iristrack/recovery/aging.py
@@ -45,7 +45,7 @@
 Snapshot = dict[str, Any]
 
 
-def weight(kind: str, age_ns: int) -> float:
+def remaining_weight(kind: str, age_ns: int) -> float:
     """How much of a kind's knowledge is left at an age, 0 to 1."""
     if age_ns < 0:
         return 0.0
@@ -58,15 +58,15 @@
     return fresh + (kept - fresh) * w
 
 
-def trust(kept: Snapshot, fresh: Snapshot, age_ns: int) -> Snapshot | None:
+def age_snapshot(kept: Snapshot, fresh: Snapshot, age_ns: int) -> Snapshot | None:
     """What of `kept` may be used at its age; None for nothing. Raises ValueError for what is no snapshot."""
     if age_ns < 0:
         return None
     try:
         found = {
             "balancer": _balancer(kept["balancer"], fresh["balancer"], age_ns),
-            "tenants": _numbers(kept["tenants"], fresh["tenants"], weight("tenants", age_ns)),
-            "popular": _popular(kept["popular"], weight("popular", age_ns)),
+            "tenants": _numbers(kept["tenants"], fresh["tenants"], remaining_weight("tenants", age_ns)),
+            "popular": _popular(kept["popular"], remaining_weight("popular", age_ns)),
             "classes": _classes(kept["classes"], fresh["classes"], age_ns),
             "servers": _servers(kept["servers"], age_ns),
         }
@@ -91,7 +91,7 @@
         if kind == "retries":
             found[name] = max(0.0, min(fresh[name], value + RETRIES_PER_S * age_ns / NS_PER_S))
             continue
-        w = weight(kind, age_ns)
+        w = remaining_weight(kind, age_ns)
         if w:
             found[name] = value if fresh[name] is None else max(0.0, blend(fresh[name], value, w))
     return found
@@ -122,7 +122,7 @@
             field: blend(
                 start[field],
                 _number(own[field]),
-                weight("shares" if field == "faulty" else "classes", age_ns),
+                remaining_weight("shares" if field == "faulty" else "classes", age_ns),
             )
             for field in start
         }
@@ -131,8 +131,8 @@
 
 def _servers(kept: Snapshot, age_ns: int) -> Snapshot:
     found: Snapshot = {}
-    w = weight("limits", age_ns)
-    suspected = weight("suspicions", age_ns)
+    w = remaining_weight("limits", age_ns)
+    suspected = remaining_weight("suspicions", age_ns)
     for name in sorted(kept)[:MOST_SERVERS]:
         own = kept[name]
         limit = min(MOST_LIMIT, max(1 / MOST_LIMIT, _number(own["limit"])))
--- a/iristrack/store/keeper.py
+++ b/iristrack/store/keeper.py
@@ -13,8 +13,8 @@
 from iristrack import __version__
 from iristrack import interface as mi
 from iristrack.balance import Balancer
+from iristrack.recovery.aging import age_snapshot
 from iristrack.recovery.pack import unpack
-from iristrack.recovery.trust import trust
 from iristrack.store.store import Store
 from iristrack.store.writer import Writer
 
@@ -48,7 +48,7 @@
                 return None
             snapshot, meta = unpacked
             age = time.time_ns() - meta["at"]
-            learned = trust(snapshot, Balancer(settings, 0).snapshot(0), age)
+            learned = age_snapshot(snapshot, Balancer(settings, 0).snapshot(0), age)
         except ValueError as fault:
             self.say(f"state: nothing is used: {fault}")
             return None
--- a/tests/state/test_trust.py
+++ b/tests/state/test_aging.py
@@ -12,13 +12,13 @@
 
 from iristrack.balance import RETRY_BURST, Balancer
 from iristrack.interface import ListKind, Outcome, ServerState
-from iristrack.recovery.trust import NS_PER_S, trust, weight
+from iristrack.recovery.aging import NS_PER_S, age_snapshot, remaining_weight
 from tests.driver import MS, Host, settings
 
 SECOND = NS_PER_S
 
 
-def taught() -> Host:
+def trained_host() -> Host:
     """A host that has met an ejected server and one that is turned away."""
     host = Host(seed=3)
     host.serve(200)
@@ -46,13 +46,13 @@
 
 def restarted(kept: dict, age: int, **entry: object) -> Host:
     host = Host(servers=0)
-    host.balancer = Balancer(settings(), 9, trust(kept, fresh(), age))
+    host.balancer = Balancer(settings(), 9, age_snapshot(kept, fresh(), age))
     host.list([host.entry(i, **entry) for i in range(6)], ListKind.CACHED)
     return host
 
 
 def test_a_snapshot_is_plain_and_brings_no_request_back() -> None:
-    host = taught()
+    host = trained_host()
     host.ask("read", "open")
     kept = host.balancer.snapshot(host.now)
     assert json.loads(json.dumps(kept)) == kept
@@ -62,7 +62,7 @@
 
 
 def test_what_was_learned_comes_back_at_once() -> None:
-    host = taught()
+    host = trained_host()
     kept = host.balancer.snapshot(host.now)
     again = restarted(kept, 0)
     old, new = host.balancer, again.balancer
@@ -76,28 +76,28 @@
 
 
 def test_trust_fades_to_what_a_new_balancer_assumes() -> None:
-    kept = taught().balancer.snapshot(10 * SECOND)
+    kept = trained_host().balancer.snapshot(10 * SECOND)
     start = fresh()
     before = None
     for age in (0, 10, 60, 300, 600, 1200):
-        found = trust(kept, start, age * SECOND)
+        found = age_snapshot(kept, start, age * SECOND)
         mean = found["classes"]["read"]["mean"]
         gap = abs(mean - start["classes"]["read"]["mean"])
         assert before is None or gap <= before
         before = gap
-    old = trust(kept, start, 86_400 * SECOND)
+    old = age_snapshot(kept, start, 86_400 * SECOND)
     assert old["classes"]["read"] == start["classes"]["read"] and old["popular"] == {}
     assert all(s["limit"] == 1.0 and not s["suspicions"] and not s["down"] for s in old["servers"].values())
     assert old["balancer"] == start["balancer"]
 
 
 def test_a_clock_that_went_back_makes_a_file_worthless() -> None:
-    kept = taught().balancer.snapshot(0)
-    assert trust(kept, fresh(), -1) is None and weight("limits", -1) == 0
+    kept = trained_host().balancer.snapshot(0)
+    assert age_snapshot(kept, fresh(), -1) is None and remaining_weight("limits", -1) == 0
 
 
 def test_a_server_that_started_since_or_has_another_id_is_new() -> None:
-    host = taught()
+    host = trained_host()
     kept = host.balancer.snapshot(host.now)
     again = restarted(kept, SECOND, started_ns=4 * SECOND)
     assert not any(s.ejected for s in again.balancer.servers.values())
@@ -123,7 +123,7 @@
 
 
 def test_what_discovery_does_not_name_is_forgotten() -> None:
-    host = taught()
+    host = trained_host()
     again = restarted(host.balancer.snapshot(host.now), 0)
     again.list([again.entry(i) for i in range(6) if again.entry(i).server != host.bad], ListKind.FULL)
     assert not again.balancer.known
@@ -132,7 +132,7 @@
 
 
 def test_a_file_that_ejects_all_leaves_half_in_use() -> None:
-    host = taught()
+    host = trained_host()
     kept = host.balancer.snapshot(host.now)
     for i, server in enumerate(kept["servers"].values()):
         server["down"], server["suspicions"] = True, {"": [True, 9.0, 3, (i + 1) * SECOND, 8 * SECOND]}
@@ -146,13 +146,13 @@
     kept = fresh()
     kept["balancer"]["retries"] = 0.5
     for _ in range(10):
-        kept = Balancer(settings(), 1, trust(kept, fresh(), 6 * SECOND)).snapshot(0)
+        kept = Balancer(settings(), 1, age_snapshot(kept, fresh(), 6 * SECOND)).snapshot(0)
     assert kept["balancer"]["retries"] == pytest.approx(0.5 + 10 * 0.6)
-    assert trust(kept, fresh(), 3600 * SECOND)["balancer"]["retries"] == RETRY_BURST
+    assert age_snapshot(kept, fresh(), 3600 * SECOND)["balancer"]["retries"] == RETRY_BURST
 
 
 def test_what_is_no_snapshot_is_said_and_nothing_else() -> None:
-    good = taught().balancer.snapshot(0)
+    good = trained_host().balancer.snapshot(0)
     for spoil in (
         lambda s: s.pop("classes"),
         lambda s: s["balancer"].update(retries="many"),
@@ -165,7 +165,7 @@
         kept = copy.deepcopy(good)
         spoil(kept)
         try:
-            trust(kept, fresh(), 0)
+            age_snapshot(kept, fresh(), 0)
         except ValueError as fault:
             assert str(fault).startswith("no snapshot") and "\n" not in str(fault)
         else:
@@ -185,7 +185,7 @@
 def test_any_tree_is_taken_or_refused(part: str, tree: object, age: int) -> None:
     kept = fresh() | {part: tree}
     try:
-        found = trust(kept, fresh(), age)
+        found = age_snapshot(kept, fresh(), age)
     except ValueError:
         return
     balancer = Balancer(settings(), 1, found)
@@ -193,7 +193,7 @@
 
 
 def test_states_of_discovery_still_rule() -> None:
-    host = taught()
+    host = trained_host()
     again = restarted(host.balancer.snapshot(host.now), 0, state=ServerState.DRAINING)
     request = again.ask("read", "k")
     assert not again.sends(request)
--- a/tests/state/test_state_command.py
+++ b/tests/state/test_state_command.py
@@ -9,7 +9,7 @@
 
 from iristrack.recovery.pack import changes, pack, unpack
 from iristrack.store.store import Store
-from tests.state.test_trust import taught
+from tests.state.test_aging import trained_host
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -20,7 +20,7 @@
 
 
 def filled(folder: Path) -> dict:
-    host = taught()
+    host = trained_host()
     first = host.balancer.snapshot(host.now)
     store = Store(str(folder), "0.2", print)
     store.open()
@@ -35,7 +35,7 @@
 
 
 def test_changes_behind_a_checkpoint_say_what_a_new_one_would() -> None:
-    host = taught()
+    host = trained_host()
     old = pack(host.balancer.snapshot(host.now), 1, "n", "v")
     host.serve(50)
     snapshot = host.balancer.snapshot(host.now)
--- a/tests/state/test_writer.py
+++ b/tests/state/test_writer.py
@@ -10,7 +10,7 @@
 from iristrack.store.store import Store
 from iristrack.store.writer import CHECKPOINT_EVERY_S, QUEUED, Writer
 from tests.state.disk import Failing
-from tests.state.test_trust import taught
+from tests.state.test_aging import trained_host
 
 
 class Clock:
@@ -36,7 +36,7 @@
 def test_changes_are_synced_once_a_second_and_a_checkpoint_comes_each_minute() -> None:
     files, said = Failing(), []
     made, clock = writer(files, said)
-    host = taught()
+    host = trained_host()
     assert made.write(host.balancer.snapshot(host.now), 1)
     written = []
     for tick in range(130):
@@ -51,7 +51,7 @@
 def test_the_rate_is_bounded_and_nothing_is_lost_by_waiting() -> None:
     files, said = Failing(), []
     made, clock = writer(files, said, rate=100)
-    host = taught()
+    host = trained_host()
     made.write(host.balancer.snapshot(host.now), 1)
     first = sum(len(n.data) for n in files.nodes.values())
     for tick in range(50):
@@ -67,7 +67,7 @@
 def test_a_full_disk_is_one_line_in_half_a_minute() -> None:
     files, said = Failing(), []
     made, clock = writer(files, said)
-    host = taught()
+    host = trained_host()
     snapshot = host.balancer.snapshot(host.now)
 
     def full(handle: int, data: bytes) -> int:
@@ -96,7 +96,7 @@
     store.checkpoint = slow
     made = Writer(store, "n", print)
     made.start()
-    host = taught()
+    host = trained_host()
     snapshot = host.balancer.snapshot(host.now)
     for i in range(QUEUED * 5):
         made.offer(snapshot, i)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 from stage import ROOT, SETTINGS
 
 from iristrack import interface as mi
-from iristrack.config import ConfigError, flatten, load, read_address, read_settings
+from iristrack.config import ConfigError, flatten, load_config, read_address, read_settings
 from iristrack.runtime.log_sink import nonblocking_sink
 
 
@@ -26,7 +26,7 @@
 
 def test_the_environment_stands_above_the_file() -> None:
     example = str(ROOT / "examples" / "config.json")
-    config = load({"NODE_CONFIG": example, "NODE_NAME": "n7", "NODE_LISTEN": "[::1]:9"})
+    config = load_config({"NODE_CONFIG": example, "NODE_NAME": "n7", "NODE_LISTEN": "[::1]:9"})
     assert (config.name, config.listen, config.discovery) == ("n7", ("::1", 9), ("127.0.0.1", 8500))
     assert config.seed == 0x8C1F30D27A5BE964
 
@@ -56,7 +56,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told))
     with pytest.raises(ConfigError) as caught:
-        load({"NODE_CONFIG": str(path)})
+        load_config({"NODE_CONFIG": str(path)})
     assert "\n" not in str(caught.value)
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -13,7 +13,7 @@
 from loguru import logger
 from stage import ROOT, Client, Stage, call, error, free_port, reject, reset, serve, silent, until
 
-from iristrack.config import ConfigError, load
+from iristrack.config import ConfigError, load_config
 from iristrack.net.door import MOST_CALLERS, Door
 from iristrack.net.front import HttpFront
 from iristrack.net.sidecar import Sidecar
@@ -125,12 +125,12 @@
     told.pop("admin_addr", None)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told))
-    assert load({"NODE_CONFIG": str(path)}).admin is None
+    assert load_config({"NODE_CONFIG": str(path)}).admin is None
     path.write_text(json.dumps(told | {"admin_addr": "127.0.0.1:9"}))
-    assert load({"NODE_CONFIG": str(path)}).admin == ("127.0.0.1", 9)
-    assert load({"NODE_CONFIG": str(path), "NODE_ADMIN_ADDR": "[::1]:8"}).admin == ("::1", 8)
+    assert load_config({"NODE_CONFIG": str(path)}).admin == ("127.0.0.1", 9)
+    assert load_config({"NODE_CONFIG": str(path), "NODE_ADMIN_ADDR": "[::1]:8"}).admin == ("::1", 8)
     with pytest.raises(ConfigError, match="NODE_ADMIN_ADDR"):
-        load({"NODE_CONFIG": str(path), "NODE_ADMIN_ADDR": "nowhere"})
+        load_config({"NODE_CONFIG": str(path), "NODE_ADMIN_ADDR": "nowhere"})
 
 
 def test_a_call_costs_a_few_turns_of_a_loop_that_is_never_idle() -> None:
@@ -168,7 +168,7 @@
 
 
 def test_a_want_of_descriptors_is_one_line_and_a_pause(monkeypatch: pytest.MonkeyPatch) -> None:
-    config = load({"NODE_CONFIG": str(ROOT / "examples" / "config.json")})
+    config = load_config({"NODE_CONFIG": str(ROOT / "examples" / "config.json")})
     scheduler, lines = Scheduler(), []
     http_front = HttpFront(scheduler, Sidecar(scheduler, config), config.listen)
     door = Door(scheduler, ("127.0.0.1", 0), lambda: True, dict)
--- a/tests/test_herd.py
+++ b/tests/test_herd.py
@@ -9,7 +9,7 @@
 
 from stage import ROOT, Stage, until
 
-from iristrack.config import load
+from iristrack.config import load_config
 from iristrack.http1 import messages as http
 from iristrack.net.sidecar import Sidecar
 from iristrack.runtime.scheduler import Scheduler
@@ -18,7 +18,7 @@
 
 
 def fleet(size: int) -> list[Sidecar]:
-    config = load({"NODE_CONFIG": str(ROOT / "examples" / "config.json")})
+    config = load_config({"NODE_CONFIG": str(ROOT / "examples" / "config.json")})
     config = replace(config, settings=replace(config.settings, balancers=size))
     return [Sidecar(Scheduler(), replace(config, seed=seed)) for seed in range(size)]
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from iristrack.interface import NS_PER_S, AttemptEnded, Contract, ListKind, Outcome
-from iristrack.limits.cold import ColdBudget, ColdPace, granted_share
-from iristrack.limits.crowd import FADES_NS, MOST_TOLD, TRUSTED_NS, Crowd, figures
+from iristrack.limits.cold_start import ColdBudget, ColdPace, granted_share
+from iristrack.limits.load_estimate import FADES_NS, MOST_TOLD, TRUSTED_NS, Crowd, figures
 
 REPORT = {"qps": 40.0, "latency_ms": 100.0, "queue": 2.0, "eps": 0.0}  # six in hand
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -158,11 +158,11 @@
 def test_both_together_hold_no_more_descriptors_than_the_limit(tmp_path: Path) -> None:
     from stage import ROOT
 
-    from iristrack.config import load
+    from iristrack.config import load_config
     from iristrack.net.front import HttpFront
     from iristrack.net.sidecar import Sidecar
 
-    config = load({"NODE_CONFIG": str(ROOT / "examples" / "config.json")})
+    config = load_config({"NODE_CONFIG": str(ROOT / "examples" / "config.json")})
     scheduler = Scheduler()
     front = HttpFront(scheduler, Sidecar(scheduler, config), config.listen)
     for elsewhere in (0, 300, 600):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -17,7 +17,7 @@
 from stage import Discovery as Agent
 
 from iristrack import interface as mi
-from iristrack.balance import ASK_AGAIN_NS
+from iristrack.balance import RESUBSCRIBE_DELAY_NS
 from iristrack.config import flatten, read_address, read_settings
 from iristrack.http1 import messages as http
 from iristrack.net import discovery
@@ -99,7 +99,7 @@
         assert client.give_up_ns + client.pause_ns <= max(grace // 2, 70 * MS) < grace + 50 * MS
         assert all(client.pause(0) <= client.pause_ns for _ in range(100))
         assert discovery.WATCH_WAIT_MS * MS + client.give_up_ns + client.pause_ns < 3 * S
-    lost = 2 * discovery.ASKED_GIVE_UP_NS + 2 * ASK_AGAIN_NS[1]
+    lost = 2 * discovery.ASKED_GIVE_UP_NS + 2 * RESUBSCRIBE_DELAY_NS[1]
     assert discovery.WATCH_WAIT_MS * MS + lost < 6 * S
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from iristrack.interface import AttemptStarted, Log, Outcome, Send
-from iristrack.zones.silence import FEWEST_SILENT, MOST_ZONES, Zones
+from iristrack.zones.outage import FEWEST_SILENT, MOST_ZONES, Zones
 
 
 def row(zones: Zones, name: str, sent: int, number: int = FEWEST_SILENT) -> list[bool]:
