--- a/iristrack/dataplane/control_link.py
+++ b/iristrack/dataplane/control_link.py
@@ -13,7 +13,7 @@
 from iristrack.configuration.amendment import parse_amendment
 from iristrack.configuration.document import parse_configuration
 from iristrack.dataplane.core_view import CoreView
-from iristrack.dataplane.discovery import ListFollower
+from iristrack.dataplane.discovery import ServerListFollower
 from iristrack.dataplane.load_reports import LoadReporter
 from iristrack.dataplane.state import ActiveConfiguration, PlaneState
 from iristrack.relay import topics
@@ -59,7 +59,7 @@
     """Connections to the core, and what their updates change here."""
 
     def __init__(
-        self, plane: PlaneState, servers: ListFollower, log, open_one: OpenConnection | None = None
+        self, plane: PlaneState, servers: ServerListFollower, log, open_one: OpenConnection | None = None
     ) -> None:
         """Dials the seeds at once; `open_one` opens connections, over TCP where it is None."""
         self.plane = plane
--- a/iristrack/dataplane/discovery.py
+++ b/iristrack/dataplane/discovery.py
@@ -45,7 +45,7 @@
     plane.links.forget_gone(FORGET_LINKS_NS)
 
 
-class ListFollower:
+class ServerListFollower:
     """Takes the list that the core hands on, and asks the platform itself while the core says nothing."""
 
     def __init__(self, plane: PlaneState) -> None:
--- a/iristrack/dataplane/program.py
+++ b/iristrack/dataplane/program.py
@@ -12,7 +12,7 @@
 from iristrack.dataplane.attempts import connect_to_server
 from iristrack.dataplane.clients import ClientListener
 from iristrack.dataplane.control_link import ControlLink
-from iristrack.dataplane.discovery import ListFollower
+from iristrack.dataplane.discovery import ServerListFollower
 from iristrack.dataplane.exchange import answer_request
 from iristrack.dataplane.state import PlaneState
 from iristrack.http1 import messages as http
@@ -63,7 +63,7 @@
             self.scheduler, _pair(bind.front_http), self._exchange, self.most_clients
         )
         self.plane.links.start()
-        self.control = ControlLink(self.plane, ListFollower(self.plane), self.log)
+        self.control = ControlLink(self.plane, ServerListFollower(self.plane), self.log)
         self.control.on_configuration = self._follow_limits
         self.scheduler.call_at(clock() + REPORT_NS, self._report)
 
--- a/iristrack/simulation/control_nodes.py
+++ b/iristrack/simulation/control_nodes.py
@@ -9,7 +9,7 @@
 
 from iristrack.controlplane.program import ControlPlane
 from iristrack.dataplane.control_link import ControlLink
-from iristrack.dataplane.discovery import ListFollower
+from iristrack.dataplane.discovery import ServerListFollower
 from iristrack.dataplane.state import PlaneState
 from iristrack.http1 import messages as http
 from iristrack.http1.serving import Response
@@ -242,7 +242,7 @@
                 scheduler, self.address, address, on_message, on_close, within_ns
             )
 
-        self.link = ControlLink(plane, ListFollower(plane), self.log, open_one)
+        self.link = ControlLink(plane, ServerListFollower(plane), self.log, open_one)
         self.link.on_configuration = self._took
 
     def freeze(self, ns: int) -> None:
--- a/tests/dataplane/test_control_link.py
+++ b/tests/dataplane/test_control_link.py
@@ -9,7 +9,7 @@
 
 from iristrack.dataplane import load_reports
 from iristrack.dataplane.control_link import ControlLink
-from iristrack.dataplane.discovery import ListFollower
+from iristrack.dataplane.discovery import ServerListFollower
 from iristrack.platform_api.server_list import to_message
 from iristrack.relay import topics
 from iristrack.runtime.scheduler import clock
@@ -43,7 +43,7 @@
 class Linked:
     def __init__(self, stand: Stand) -> None:
         self.plane = stand.plane
-        self.link = ControlLink(stand.plane, ListFollower(stand.plane), Log())
+        self.link = ControlLink(stand.plane, ServerListFollower(stand.plane), Log())
         self.core = Peer()
 
     def update(self, topic: str, sequence: int, value) -> None:
