--- a/benchmarks/amendment_cost.py
+++ b/benchmarks/amendment_cost.py
@@ -24,7 +24,7 @@
 from iristrack.wire.messages import ConfigurationAmendment, ConfigurationValue, Update
 from iristrack.wire.values import decode_value
 
-MOST_BODY = 7 << 20
+MAX_BODY_BYTES = 7 << 20
 TENANTS = 75
 
 
@@ -69,9 +69,9 @@
         return changes.replace_configuration(read_configuration(next_body).ok, next_body, 1)(first)
 
     def amend_at_core(_: int) -> object:
-        return changes.AmendConfiguration(read_amendment(small).ok, small, 1, MOST_BODY)(first)
+        return changes.AmendConfiguration(read_amendment(small).ok, small, 1, MAX_BODY_BYTES)(first)
 
-    told = changes.told_configuration(decode_value(replace_at_core(0), ConfigurationValue))
+    told = changes.relayed_configuration(decode_value(replace_at_core(0), ConfigurationValue))
     whole_frame = encode(Update(topics.CONFIGURATION, 2, told))
     amendment_frame = encode(ConfigurationAmendment(2, small))
     active = ActiveConfiguration(parse_configuration(first_body))
--- a/iristrack/controlplane/changes.py
+++ b/iristrack/controlplane/changes.py
@@ -23,7 +23,7 @@
 )
 from iristrack.wire.values import decode_value, encode_value
 
-MOST_TAKEN = 1024  # revisions whose digests are kept, to know a repeat of a call
+MAX_TAKEN_REVISIONS = 1024  # revisions whose digests are kept, to know a repeat of a call
 BASE_DIFFERS = "another version is current"
 BASE_FORGOTTEN = "what was taken on that version is not remembered"
 NOT_HIGHER = "the revision is not higher than the current one"
@@ -137,7 +137,7 @@
 def _successor(
     current: ConfigurationValue, taken: TakenRevision, body: bytes, amendment: bytes = b""
 ) -> bytes:
-    history = (*current.taken, taken)[-MOST_TAKEN:]
+    history = (*current.taken, taken)[-MAX_TAKEN_REVISIONS:]
     return encode_value(ConfigurationValue(current.sequence + 1, taken.revision, body, history, amendment))
 
 
@@ -147,7 +147,7 @@
     return not is_whole and (not current.taken or base < current.taken[0].revision)
 
 
-def told_configuration(value: ConfigurationValue) -> bytes:
+def relayed_configuration(value: ConfigurationValue) -> bytes:
     """What sidecars are told of the register's value: of the history its newest entry alone, as links are narrow."""
     return encode_value(replace(value, taken=value.taken[-1:]))
 
--- a/iristrack/controlplane/list_poller.py
+++ b/iristrack/controlplane/list_poller.py
@@ -19,7 +19,7 @@
 FAST_POLL_NS = 500 * NS_PER_MS  # while servers change
 FAST_FOR_NS = 3000 * NS_PER_MS
 REFRESH_NS = 2000 * NS_PER_MS  # an unchanged list is told again, so that others know that it is followed
-CALL_NS = 800 * NS_PER_MS
+CALL_TIMEOUT_NS = 800 * NS_PER_MS
 STALE_NS = 3500 * NS_PER_MS  # a list that was not told again for so long is fetched by whoever sees it
 
 
@@ -75,7 +75,7 @@
 
     def _poll(self) -> None:
         try:
-            value = encode_value(to_message(fetch_list(self._caller, self.scheduler.now() + CALL_NS)))
+            value = encode_value(to_message(fetch_list(self._caller, self.scheduler.now() + CALL_TIMEOUT_NS)))
         except ListUnavailable:
             return  # the last list stands; the next call is soon
         now = self.scheduler.now()
--- a/iristrack/controlplane/member_changes.py
+++ b/iristrack/controlplane/member_changes.py
@@ -108,7 +108,7 @@
         if self.register.name not in connected:
             return
         is_turn = now - self._shrinking_since >= connected.index(self.register.name) * TURN_NS
-        if is_turn and self.register.write_again(members, ROUND_NS):
+        if is_turn and self.register.rewrite_registers(members, ROUND_NS):
             self._propose(members, settled(members))
 
     def _look(self, members: MembersValue) -> None:
--- a/iristrack/controlplane/operator_api.py
+++ b/iristrack/controlplane/operator_api.py
@@ -13,20 +13,20 @@
 from iristrack.configuration.document import Finding, read_configuration
 from iristrack.configuration.model import MOST_REVISION, Configuration
 from iristrack.controlplane import changes
-from iristrack.controlplane.deciders import transfer_ns
 from iristrack.controlplane.register_host import RegisterHost
-from iristrack.controlplane.status_figures import status_figures
+from iristrack.controlplane.state_machine_runner import transfer_ns
+from iristrack.controlplane.status_metrics import status_metrics
 from iristrack.http1 import messages as http
 from iristrack.http1.serving import Response
-from iristrack.platform_api.figures import CONTENT_TYPE, figures_text
+from iristrack.platform_api.metrics import CONTENT_TYPE, format_metrics
 from iristrack.register import Committed, Overtaken, ProposerResult, Rejected
 from iristrack.relay import topics
 from iristrack.wire.messages import ConfigurationValue, RolloutsValue, Update, VersionsValue
 from iristrack.wire.values import decode_value
 
 NS_PER_MS = 1_000_000
-CALL_NS = 900 * NS_PER_MS  # callers move on after a second of silence
-MOST_BODY = 7 << 20  # with what stands around it, a record of the register holds 8 MiB at most
+CALL_TIMEOUT_NS = 900 * NS_PER_MS  # callers move on after a second of silence
+MAX_BODY_BYTES = 7 << 20  # with what stands around it, a record of the register holds 8 MiB at most
 RETRY_AFTER = b"Content-Type: application/json\r\nRetry-After: 0.3\r\n"
 MOST_REVISION_DIGITS = len(str(MOST_REVISION))
 BASE_HEADER = b"x-iristrack-base-version"
@@ -245,7 +245,7 @@
         if isinstance(command, ReadStatus):
             return Response(200, json.dumps(self.tell_status(command.with_servers)).encode())
         if isinstance(command, ReadMetrics):
-            return Response(200, figures_text(status_figures(self.tell_status(False))), CONTENT_TYPE)
+            return Response(200, format_metrics(status_metrics(self.tell_status(False))), CONTENT_TYPE)
         if not self.in_quorum():
             return no_quorum()
         if isinstance(command, ReplaceConfiguration):
@@ -266,7 +266,7 @@
         return self._answer_change(result, command.configuration.revision, command.base)
 
     def _amend(self, command: AmendConfiguration) -> Response:
-        change = changes.AmendConfiguration(command.amendment, command.body, command.base, MOST_BODY)
+        change = changes.AmendConfiguration(command.amendment, command.body, command.base, MAX_BODY_BYTES)
         size = len(command.body) + self.register.value_size(topics.CONFIGURATION)
         result = self._change_configuration(change, size)
         answer = self._answer_change(result, command.amendment.revision, command.base)
@@ -276,7 +276,7 @@
 
     def _change_configuration(self, change: changes.Change, size: int) -> ProposerResult:
         """Change the register whose value has about `size` bytes, and tell everyone what it holds."""
-        deadline = self.register.scheduler.now() + CALL_NS + transfer_ns(size)
+        deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS + transfer_ns(size)
         result = self.register.change(topics.CONFIGURATION, change, deadline)
         self._publish_configuration(result)
         return result
@@ -292,7 +292,7 @@
 
     def _read(self) -> Response:
         size = self.register.value_size(topics.CONFIGURATION)
-        deadline = self.register.scheduler.now() + CALL_NS + transfer_ns(size)
+        deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS + transfer_ns(size)
         result = self.register.change(topics.CONFIGURATION, changes.unchanged, deadline)
         if not isinstance(result, Committed):
             return no_quorum()
@@ -304,7 +304,9 @@
 
     def _name_version(self, command: NameVersion) -> Response:
         change = changes.name_version(command.model, command.revision)
-        result = self.register.change(topics.VERSIONS, change, self.register.scheduler.now() + CALL_NS)
+        result = self.register.change(
+            topics.VERSIONS, change, self.register.scheduler.now() + CALL_TIMEOUT_NS
+        )
         if isinstance(result, Rejected):
             return _findings(BadCall(400, (Finding("model_name", result.reason, "name one of those"),)))
         if not isinstance(result, Committed):
@@ -338,7 +340,7 @@
 
     def _unknown_service(self, service: str) -> Response | None:
         """The refusal of a service that the newest configuration does not name; None where it does."""
-        deadline = self.register.scheduler.now() + CALL_NS
+        deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS
         result = self.register.change(topics.CONFIGURATION, changes.unchanged, deadline)
         if not isinstance(result, Committed):
             return no_quorum()
@@ -364,7 +366,7 @@
 
     def _change_rollouts(self, change: changes.Change) -> ProposerResult:
         """Change the register of the roll-outs, and tell everyone what it holds."""
-        deadline = self.register.scheduler.now() + CALL_NS
+        deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS
         result = self.register.change(topics.ROLLOUTS, change, deadline)
         if isinstance(result, Committed | Rejected | Overtaken):
             value = decode_value(result.value, RolloutsValue)
@@ -376,7 +378,7 @@
         if isinstance(result, Committed | Rejected | Overtaken):
             value = decode_value(result.value, ConfigurationValue)
             if value is not None:
-                told = changes.told_configuration(value)
+                told = changes.relayed_configuration(value)
                 self.publish(Update(topics.CONFIGURATION, value.sequence, told))
 
 
--- a/iristrack/controlplane/kept_prompts.py
+++ b/iristrack/controlplane/prefix_cache_watch.py
@@ -29,7 +29,7 @@
 
 NS_PER_MS = 1_000_000
 HOLD_MS = 1000  # the longest wait that holders allow; under 200 ms a call would be priced as a probe
-CALL_NS = (HOLD_MS + 1500) * NS_PER_MS
+CALL_TIMEOUT_NS = (HOLD_MS + 1500) * NS_PER_MS
 PAUSE_NS = 500 * NS_PER_MS  # after a call that failed
 LIST_NS = 5000 * NS_PER_MS  # between two calls for all that a holder keeps, where events were lost
 CHECK_NS = 250 * NS_PER_MS  # between two looks at which holders there are
@@ -46,7 +46,7 @@
     behind: bool = False  # changes were left out
 
 
-class KeptPrompts:
+class PrefixCacheWatch:
     """What all holders keep, as this member knows it, and those who follow it."""
 
     def __init__(
@@ -189,7 +189,7 @@
 
 
 def _call(caller: Caller, target: bytes, lines: bytes) -> bytes:
-    answer = caller.call(b"GET", target, lines, b"", clock() + CALL_NS)
+    answer = caller.call(b"GET", target, lines, b"", clock() + CALL_TIMEOUT_NS)
     if answer.head.status != 200:
         raise MalformedAnswer(f"status {answer.head.status}")
     return answer.body
--- a/iristrack/controlplane/program.py
+++ b/iristrack/controlplane/program.py
@@ -11,19 +11,19 @@
 from iristrack.configuration.amendment import SERVICES, parse_amendment
 from iristrack.configuration.building import parse_services
 from iristrack.controlplane import changes
-from iristrack.controlplane.deciders import transfer_ns
 from iristrack.controlplane.distribution import Distribution
 from iristrack.controlplane.environment import Environment, SystemEnvironment
 from iristrack.controlplane.founding import Founding
-from iristrack.controlplane.kept_prompts import KeptPrompts
 from iristrack.controlplane.key_leases import KeyLeases
 from iristrack.controlplane.list_poller import ListPoller
 from iristrack.controlplane.load_hub import LoadHub
 from iristrack.controlplane.member_changes import MemberChanges
-from iristrack.controlplane.operator_api import MOST_BODY, OperatorApi
-from iristrack.controlplane.quorum_contact import LATELY_NS, QuorumContact
+from iristrack.controlplane.operator_api import MAX_BODY_BYTES, OperatorApi
+from iristrack.controlplane.prefix_cache_watch import PrefixCacheWatch
+from iristrack.controlplane.quorum_contact import RECENT_CONTACT_NS, QuorumContact
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.controlplane.rollouts import RolloutsDuty
+from iristrack.controlplane.state_machine_runner import transfer_ns
 from iristrack.controlplane.status import PeerBook, status_document
 from iristrack.controlplane.weights import WeightsDuty
 from iristrack.engines.named_weights import NamedWeights
@@ -135,7 +135,7 @@
         self.quorum = QuorumContact(self.register, self.dialers)
         self.distribution = Distribution(self.dialers.broadcast, self._announcement)
         self.load_hub = LoadHub(self.scheduler, settings.node_name, self.dialers.broadcast)
-        self.kept = KeptPrompts(self.scheduler, self.address, self._holders, self._connected)
+        self.kept = PrefixCacheWatch(self.scheduler, self.address, self._holders, self._connected)
         self.key_leases = KeyLeases(self.register, self._send)
         self.named_weights = NamedWeights()
         self.heartbeats = 0
@@ -169,7 +169,7 @@
         )
         bind = settings.bind.control_plane
         self._stop_serving = self.environment.serve_operators(
-            (bind.host, bind.port), self.api.answer, MOST_BODY
+            (bind.host, bind.port), self.api.answer, MAX_BODY_BYTES
         )
         self.sync.start()
         self.weights = WeightsDuty(
@@ -288,7 +288,7 @@
 
     def _reporting_core(self) -> dict[str, str]:
         """The names of the disks of all core machines that have said something lately, by their addresses."""
-        least = self.scheduler.now() - LATELY_NS
+        least = self.scheduler.now() - RECENT_CONTACT_NS
         return {
             hello.address: hello.disk
             for connection, hello in self.peer_book.open()
@@ -447,7 +447,7 @@
         value = decode_value(result.value, VALUE_TYPES[key])
         if value is not None:
             is_configuration = key == topics.CONFIGURATION
-            told = changes.told_configuration(value) if is_configuration else result.value
+            told = changes.relayed_configuration(value) if is_configuration else result.value
             self.distribution.publish(Update(topics.topic_of(key), value.sequence, told))
 
 
--- a/iristrack/controlplane/quorum_contact.py
+++ b/iristrack/controlplane/quorum_contact.py
@@ -12,7 +12,7 @@
 from iristrack.wire.dialing import DialerSet
 
 NS_PER_MS = 1_000_000
-LATELY_NS = 1200 * NS_PER_MS  # members answer each other every 500 ms
+RECENT_CONTACT_NS = 1200 * NS_PER_MS  # members answer each other every 500 ms
 
 
 class QuorumContact:
@@ -25,7 +25,7 @@
 
     def reached(self) -> set[str]:
         """The inner addresses that have answered lately, and this process's own."""
-        return {self.register.name, *self.dialers.heard_within(LATELY_NS)}
+        return {self.register.name, *self.dialers.heard_within(RECENT_CONTACT_NS)}
 
     def holds(self) -> bool:
         """Does this process reach a quorum? Not while no member set is known."""
--- a/iristrack/controlplane/register_host.py
+++ b/iristrack/controlplane/register_host.py
@@ -10,10 +10,10 @@
 import random
 from collections.abc import Callable
 
-from iristrack.controlplane.deciders import (
-    LEAST_ATTEMPT_NS,
-    DeciderRunner,
+from iristrack.controlplane.state_machine_runner import (
+    MIN_ATTEMPT_NS,
     RunningRecovery,
+    StateMachineRunner,
     transfer_ns,
 )
 from iristrack.register import (
@@ -98,7 +98,7 @@
         self.identity = ProposerIdentity(proposer, self.rng.getrandbits(FIRST_CALL_BITS))
         self.member_set = decode_value(opened.blobs.get(MEMBERS_BLOB, b""), MembersValue) or NO_MEMBERS
         self.acceptor: Acceptor | None = None
-        self.deciders = DeciderRunner(scheduler, self._send, self.value_size, moved_bytes)
+        self.runner = StateMachineRunner(scheduler, self._send, self.value_size, moved_bytes)
         self._opened = opened
         self._recovery: RunningRecovery | None = None
         self._forming = False
@@ -210,7 +210,7 @@
         else:
             self.member_set = told
             self._recover(on_done)
-        self.deciders.use(self.member_set)
+        self.runner.use(self.member_set)
 
     def _draw_incarnation(self) -> str:
         return f"{self.rng.getrandbits(INCARNATION_BITS):016x}"
@@ -247,12 +247,12 @@
         self.acceptor.write_failed()
         self.log.error("no vote for now: the disk refused a record")
         self._when_voting_again = on_done
-        self._try_disk_later(self.acceptor)
+        self._schedule_disk_retry(self.acceptor)
 
-    def _try_disk_later(self, stopped: Acceptor) -> None:
-        self.scheduler.call_at(self.scheduler.now() + DISK_RETRY_NS, self._try_disk, stopped)
+    def _schedule_disk_retry(self, stopped: Acceptor) -> None:
+        self.scheduler.call_at(self.scheduler.now() + DISK_RETRY_NS, self._retry_disk, stopped)
 
-    def _try_disk(self, stopped: Acceptor) -> None:
+    def _retry_disk(self, stopped: Acceptor) -> None:
         """Vote again, from what is on the disk, if that takes the identity and the member set now."""
         if self.acceptor is not stopped:
             return  # it was retired meanwhile, or has recovered from the others
@@ -262,7 +262,7 @@
             if self.acceptor is not stopped:
                 return
             if not ok or self.member_set is not members:
-                self._try_disk_later(stopped)
+                self._schedule_disk_retry(stopped)
                 return
             self.acceptor = self._make_acceptor(self._disk_incarnation, self._on_disk)
             self.log.info("voting again", incarnation=self.acceptor.incarnation)
@@ -298,7 +298,7 @@
         members = self.member_set
         incarnation = self._draw_incarnation()
         try:
-            decider = Recovery(
+            state_machine = Recovery(
                 self.name, self.identity, members, self.keys, self.rng, self._recovery_pace, disk=self.disk
             )
         except ValueError as fault:
@@ -310,12 +310,12 @@
             self._begin(members, incarnation, recovered.records, on_done)
 
         self.log.info("recovering", sequence=members.sequence, members=",".join(members.members))
-        self._recovery = RunningRecovery(decider, finished)
-        self.deciders.start(self._recovery)
+        self._recovery = RunningRecovery(state_machine, finished)
+        self.runner.start(self._recovery)
 
     def _stop_recovery(self) -> None:
         if self._recovery is not None:
-            self.deciders.drop(self._recovery)
+            self.runner.drop(self._recovery)
             self._recovery = None
 
     def _begin(
@@ -386,7 +386,7 @@
         elif isinstance(message, Accept):
             self._vote(lambda acceptor: acceptor.handle_accept(message), reply)
         elif isinstance(message, Promise | Accepted):
-            self.deciders.dispatch(message)
+            self.runner.dispatch(message)
 
     def _vote(self, decide: Callable[[Acceptor], Outcome], reply: Reply) -> None:
         acceptor = self.acceptor or self._left
@@ -417,7 +417,7 @@
         if not self.members or not (self.founded or key == topics.MEMBERS):
             return Unavailable(in_doubt=False)
         if pace is None:
-            pace = Pace(max(LEAST_ATTEMPT_NS, (deadline - self.scheduler.now()) // ATTEMPTS))
+            pace = Pace(max(MIN_ATTEMPT_NS, (deadline - self.scheduler.now()) // ATTEMPTS))
         proposer = Proposer(
             self.identity,
             key,
@@ -428,7 +428,7 @@
             pace,
             held=lambda: EMPTY_CELL if self.acceptor is None else self.acceptor.cell(key),
         )
-        return self.deciders.run(proposer)
+        return self.runner.run(proposer)
 
     def _send(self, member: str, message: Prepare | Accept) -> None:
         if member == self.name:
@@ -439,9 +439,9 @@
 
     def _answer_self(self, answer: Message) -> None:
         if isinstance(answer, Promise | Accepted):  # of a newer member set this process knows already
-            self.deciders.dispatch(answer)
+            self.runner.dispatch(answer)
 
-    def write_again(self, members: MembersValue, round_ns: int) -> bool:
+    def rewrite_registers(self, members: MembersValue, round_ns: int) -> bool:
         """Have what stands in each register accepted by a quorum of this member set, from a task of the loop.
 
         Each register gets `round_ns` and the time that its length takes. False where one could not be, or where
--- a/iristrack/controlplane/deciders.py
+++ b/iristrack/controlplane/state_machine_runner.py
@@ -23,7 +23,7 @@
 from iristrack.runtime.scheduler import Scheduler, Task, Timer
 from iristrack.wire.messages import Accept, Accepted, MembersValue, Prepare, Promise
 
-LEAST_ATTEMPT_NS = Pace().attempt_timeout_ns
+MIN_ATTEMPT_NS = Pace().attempt_timeout_ns
 SLOWEST_NS_PER_BYTE = 250  # a value is given so much more time for its length: 7 MiB get 1.8 s,
 SLOWEST_MOVING_NS_PER_BYTE = (
     1600  # and so much as long as bytes move between the members, which is one at 5 Mbit/s
@@ -40,7 +40,7 @@
 class RunningChange:
     """A proposer, and the task that waits for its result."""
 
-    decider: Proposer
+    state_machine: Proposer
     task: Task
     began_at: int  # ns
     moved_bytes: int  # between the members, when these were last seen to move,
@@ -53,7 +53,7 @@
 class RunningRecovery:
     """A recovery, and what is done with its end."""
 
-    decider: Recovery
+    state_machine: Recovery
     on_recovered: Callable[[Recovered], None]
     timer: Timer | None = None
 
@@ -61,7 +61,7 @@
 Running = RunningChange | RunningRecovery
 
 
-class DeciderRunner:
+class StateMachineRunner:
     """All proposers and recoveries of one process."""
 
     def __init__(
@@ -102,7 +102,7 @@
     def start(self, running: Running) -> None:
         """Begin."""
         self._running.append(running)
-        self._carry_out(running, running.decider.start(self._scheduler.now()))
+        self._carry_out(running, running.state_machine.start(self._scheduler.now()))
 
     def drop(self, running: Running) -> None:
         """Go on with it no more; harmless where it has ended."""
@@ -116,13 +116,13 @@
         for running in list(self._running):
             if isinstance(running, RunningRecovery) and not isinstance(answer, Promise):
                 continue
-            self._carry_out(running, running.decider.handle(answer, self._scheduler.now()))
+            self._carry_out(running, running.state_machine.handle(answer, self._scheduler.now()))
 
     def use(self, members: MembersValue) -> None:
         """Have the changes under way go by a newer member set."""
         for running in list(self._running):
             if isinstance(running, RunningChange):
-                self._carry_out(running, running.decider.use(members, self._scheduler.now()))
+                self._carry_out(running, running.state_machine.use(members, self._scheduler.now()))
 
     def _carry_out(self, running: Running, effects: list[Effect]) -> None:
         for effect in effects:
@@ -141,17 +141,17 @@
     def _on_timer(self, running: Running) -> None:
         now = self._scheduler.now()
         if isinstance(running, RunningChange) and self._is_moving(running, now):
-            self._set_timer(running, now + LEAST_ATTEMPT_NS)
+            self._set_timer(running, now + MIN_ATTEMPT_NS)
             return
-        self._carry_out(running, running.decider.on_timer(now))
+        self._carry_out(running, running.state_machine.on_timer(now))
 
     def _is_moving(self, running: RunningChange, now: int) -> bool:
         """Is a long value still on its way?"""
         moved = self._moved_bytes()
-        size = max(running.decider.proposal_size, self._value_size(running.decider.key))
+        size = max(running.state_machine.proposal_size, self._value_size(running.state_machine.key))
         if moved - running.moved_bytes >= LEAST_MOVED_BYTES:
             running.moved_bytes, running.moved_at = moved, now
-        rests_ns = max(LEAST_ATTEMPT_NS, transfer_ns(size))  # what has left here may lie on the way
+        rests_ns = max(MIN_ATTEMPT_NS, transfer_ns(size))  # what has left here may lie on the way
         is_late = now - running.began_at > size * SLOWEST_MOVING_NS_PER_BYTE
         return not is_late and now - running.moved_at < rests_ns
 
--- a/iristrack/controlplane/status_figures.py
+++ b/iristrack/controlplane/status_metrics.py
@@ -7,7 +7,7 @@
 from iristrack.relay import topics
 
 
-def status_figures(document: dict[str, Any]) -> dict[str, int | bool]:
+def status_metrics(document: dict[str, Any]) -> dict[str, int | bool]:
     """Numbers by name; what is not known is left out."""
     members = document.get("members", ())
     figures: dict[str, int | bool] = {
--- a/iristrack/controlplane/weight_orders.py
+++ b/iristrack/controlplane/weight_orders.py
@@ -13,7 +13,7 @@
 from iristrack.wire.dialing import parse_address
 
 NS_PER_MS = 1_000_000
-CALL_NS = 700 * NS_PER_MS
+CALL_TIMEOUT_NS = 700 * NS_PER_MS
 REPORT_NS = 200 * NS_PER_MS
 GIVE_UP_NS = 12_000 * NS_PER_MS  # an upgrade that takes longer is begun anew
 NO_ORDER_NS = 1500 * NS_PER_MS  # a server that takes no order for so long lets the others go first
@@ -54,7 +54,7 @@
 
     def _report(self, caller: Caller) -> Report | None:
         try:
-            answer = caller.call(b"GET", b"/report", b"", b"", self.scheduler.now() + CALL_NS)
+            answer = caller.call(b"GET", b"/report", b"", b"", self.scheduler.now() + CALL_TIMEOUT_NS)
             return read_report(answer.body) if answer.head.status == 200 else None
         except (OSError, http.Malformed, http.Truncated, MalformedReport):
             return None
@@ -71,10 +71,10 @@
         )
         try:
             caller.close()  # on a connection of its own: no late answer can be taken for the order's
-            caller.connect(self.scheduler.now() + CALL_NS)
+            caller.connect(self.scheduler.now() + CALL_TIMEOUT_NS)
             if not self.lease.may_act(self.scheduler.now()):
                 return False  # it ended while the connection came up
-            answer = caller.call(b"POST", b"/order", lines, body, self.scheduler.now() + CALL_NS)
+            answer = caller.call(b"POST", b"/order", lines, body, self.scheduler.now() + CALL_TIMEOUT_NS)
         except (OSError, http.Malformed, http.Truncated):
             return False  # it may have been taken: `expected_count` guards the next one
         status = answer.head.status
--- a/iristrack/dataplane/program.py
+++ b/iristrack/dataplane/program.py
@@ -18,7 +18,7 @@
 from iristrack.http1 import messages as http
 from iristrack.http1.serving import HttpServer, Response
 from iristrack.net.links import Links
-from iristrack.platform_api.figures import CONTENT_TYPE, figures_text
+from iristrack.platform_api.metrics import CONTENT_TYPE, format_metrics
 from iristrack.runtime.scheduler import Scheduler, clock
 from iristrack.settings import Address, Settings
 
@@ -93,7 +93,7 @@
     def _answer_readiness(self, message: http.Message) -> Response:
         path = message.head.target.partition(b"?")[0]
         if path == b"/metrics":
-            return Response(200, figures_text(self._figures() | {"ready": self.ready}), CONTENT_TYPE)
+            return Response(200, format_metrics(self._figures() | {"ready": self.ready}), CONTENT_TYPE)
         if path != b"/ready":
             return Response(404, b"", b"")
         return Response(200 if self.ready else 503, b"", b"")
--- a/iristrack/platform_api/figures.py
+++ b/iristrack/platform_api/metrics.py
@@ -8,7 +8,7 @@
 CONTENT_TYPE = b"Content-Type: text/plain; version=0.0.4\r\n"
 
 
-def figures_text(figures: Mapping[str, int | float | bool]) -> bytes:
+def format_metrics(figures: Mapping[str, int | float | bool]) -> bytes:
     """The figures in the order of their names; a bool is 0 or 1."""
     lines = (
         f"{PREFIX}{name} {value:d}" if isinstance(value, bool) else f"{PREFIX}{name} {value}"
--- a/iristrack/simulation/control.py
+++ b/iristrack/simulation/control.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from iristrack.controlplane.changes import MOST_TAKEN
+from iristrack.controlplane.changes import MAX_TAKEN_REVISIONS
 from iristrack.relay import topics
 from iristrack.simulation.control_nodes import SimulatedCore, SimulatedEdge
 from iristrack.simulation.control_operators import MODEL, Operator, WeightsOperator
@@ -539,7 +539,7 @@
             self.referee.violate(now, "no member holds a configuration")
             return
         taken = [(entry.revision, entry.digest) for entry in newest.taken]
-        begins_at = taken[0][0] if len(taken) >= MOST_TAKEN else 0
+        begins_at = taken[0][0] if len(taken) >= MAX_TAKEN_REVISIONS else 0
         self.referee.judge_end(taken, now, begins_at)
 
 
--- a/tests/controlplane/test_changes.py
+++ b/tests/controlplane/test_changes.py
@@ -14,14 +14,14 @@
     BASE_FORGOTTEN,
     HELD,
     INVALID,
-    MOST_TAKEN,
+    MAX_TAKEN_REVISIONS,
     NOT_HIGHER,
     TOO_MANY_MODELS,
     AmendConfiguration,
     claim_duty,
     name_version,
+    relayed_configuration,
     replace_configuration,
-    told_configuration,
     unchanged,
 )
 from iristrack.engines.named_weights import MOST_MODELS
@@ -49,7 +49,7 @@
 
 # ---- amendments
 
-MOST_BODY = 10_000
+MAX_BODY_BYTES = 10_000
 
 
 def amendment_body(revision: int, *labels: str, remove: tuple[str, ...] = ()) -> bytes:
@@ -58,7 +58,7 @@
     return json.dumps(document).encode()
 
 
-def amending(body: bytes, base: int, most_body: int = MOST_BODY) -> AmendConfiguration:
+def amending(body: bytes, base: int, most_body: int = MAX_BODY_BYTES) -> AmendConfiguration:
     return AmendConfiguration(read_amendment(body).ok, body, base, most_body)
 
 
@@ -162,17 +162,17 @@
 
 def test_the_history_is_bounded_and_keeps_the_newest() -> None:
     value = b""
-    for revision in range(1, MOST_TAKEN + 40):
+    for revision in range(1, MAX_TAKEN_REVISIONS + 40):
         value = replace(value, revision, revision - 1)
     taken = decoded(value).taken
-    assert [t.revision for t in taken] == list(range(40, MOST_TAKEN + 40))
-    assert replace(value, MOST_TAKEN + 39, MOST_TAKEN + 38) == Unchanged()
+    assert [t.revision for t in taken] == list(range(40, MAX_TAKEN_REVISIONS + 40))
+    assert replace(value, MAX_TAKEN_REVISIONS + 39, MAX_TAKEN_REVISIONS + 38) == Unchanged()
 
 
 def test_a_repeat_that_may_have_been_taken_before_the_history_begins_is_not_refused() -> None:
     """412 would say that it was never taken."""
     value = b""
-    for revision in range(1, MOST_TAKEN + 40):
+    for revision in range(1, MAX_TAKEN_REVISIONS + 40):
         value = replace(value, revision, revision - 1)
     oldest = decoded(value).taken[0].revision
     assert replace(value, 5, 4) == Refuse(BASE_FORGOTTEN)  # it was taken
@@ -183,7 +183,7 @@
 
 def test_sidecars_are_told_the_newest_entry_of_the_history_alone() -> None:
     value = replace(replace(b"", 5, 0), 9, 5)
-    told = decode_value(told_configuration(decoded(value)), ConfigurationValue)
+    told = decode_value(relayed_configuration(decoded(value)), ConfigurationValue)
     assert (told.sequence, told.revision, told.body) == (2, 9, body(9))
     assert told.taken == (TakenRevision(9, configuration(9).digest),)
 
@@ -347,7 +347,7 @@
 
 def test_the_oldest_one_that_is_remembered_may_be_a_repeat_on_any_base() -> None:
     value = replace(b"", 1, 0)
-    for revision in range(2, MOST_TAKEN + 3):
+    for revision in range(2, MAX_TAKEN_REVISIONS + 3):
         value = replace(value, revision, revision - 1)
     oldest = decoded(value).taken[0].revision
     assert replace(value, oldest, oldest - 1) == Unchanged()
--- a/tests/controlplane/test_member_changes.py
+++ b/tests/controlplane/test_member_changes.py
@@ -228,5 +228,5 @@
     core.cut = set(FOUR_MEMBERS[1:])
     assert core.hosts[MEMBERS[0]].member_set == shrinking
     results = []
-    core.run(lambda: results.append(core.hosts[MEMBERS[0]].write_again(shrinking, SHORT_NS)))
+    core.run(lambda: results.append(core.hosts[MEMBERS[0]].rewrite_registers(shrinking, SHORT_NS)))
     assert results == [False]
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -11,7 +11,7 @@
 import pytest
 
 from iristrack.controlplane import changes
-from iristrack.controlplane.operator_api import MOST_BODY, BadCall, OperatorApi, decode_call
+from iristrack.controlplane.operator_api import MAX_BODY_BYTES, BadCall, OperatorApi, decode_call
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.register import Committed, Overtaken, Rejected, Unavailable
 from iristrack.relay import topics
@@ -290,7 +290,7 @@
         assert (response.status, response.body) == (200, document(7))
     sequences = [update.sequence for update in core.told]
     assert sequences == sorted(sequences)
-    assert all(host.deciders.under_way == 0 for host in core.hosts.values())
+    assert all(host.runner.under_way == 0 for host in core.hosts.values())
 
 
 def test_one_of_two_operators_on_the_same_base_prevails() -> None:
@@ -310,7 +310,7 @@
 
 
 def test_a_minority_acknowledges_nothing(monkeypatch) -> None:
-    monkeypatch.setattr("iristrack.controlplane.operator_api.CALL_NS", 30_000_000)
+    monkeypatch.setattr("iristrack.controlplane.operator_api.CALL_TIMEOUT_NS", 30_000_000)
     core = Core()
     core.status(replace_call(document(5), "0"))
     core.cut = set(MEMBERS[1:])
@@ -342,7 +342,7 @@
         version_call(b"[" * 100_000),
         replace_call(b"[" * 100_000),
         replace_call(b'{"revision": 1, "route_table": [], "services": [{"label": "\\ud800"}]}'),
-        replace_call(document(1, "x" * (MOST_BODY - 100))),
+        replace_call(document(1, "x" * (MAX_BODY_BYTES - 100))),
     ],
     ids=["surrogate", "deep version", "deep configuration", "surrogate label", "largest"],
 )
--- a/tests/controlplane/test_kept_prompts.py
+++ b/tests/controlplane/test_prefix_cache_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from iristrack.controlplane.kept_prompts import KeptPrompts
+from iristrack.controlplane.prefix_cache_watch import PrefixCacheWatch
 from iristrack.simulation.virtual_time import VirtualScheduler, World
 from iristrack.wire.messages import KeptBatch, KeptParts, KeptSubscribe, PartTokens
 from tests.controlplane.peers import Peer
@@ -13,11 +13,11 @@
 
 
 @pytest.fixture
-def kept() -> KeptPrompts:
-    return KeptPrompts(VirtualScheduler(World()), "core-1", set, lambda: ["core-1"])
+def kept() -> PrefixCacheWatch:
+    return PrefixCacheWatch(VirtualScheduler(World()), "core-1", set, lambda: ["core-1"])
 
 
-def test_a_follower_is_told_until_it_ends_its_subscription(kept: KeptPrompts) -> None:
+def test_a_follower_is_told_until_it_ends_its_subscription(kept: PrefixCacheWatch) -> None:
     follower, other = Peer(), Peer()
     for peer in (follower, other):
         kept.subscribe(peer, KeptSubscribe(own_only=False))
@@ -31,7 +31,7 @@
     assert other.take() == [KeptBatch((CHANGE,))]
 
 
-def test_one_that_comes_back_is_told_all_there_is(kept: KeptPrompts) -> None:
+def test_one_that_comes_back_is_told_all_there_is(kept: PrefixCacheWatch) -> None:
     follower = Peer()
     kept.from_member(KeptBatch((CHANGE,)))
     kept.subscribe(follower, KeptSubscribe(own_only=False))
--- a/tests/simulation/planted_faults.py
+++ b/tests/simulation/planted_faults.py
@@ -32,7 +32,7 @@
     elif isinstance(message, Accept):
         self._vote(lambda acceptor: acceptor.handle_accept(message), reply)
     else:
-        self.deciders.dispatch(message)
+        self.runner.dispatch(message)
 
 
 class AnySetAcceptor(Acceptor):
--- a/tests/simulation/test_control.py
+++ b/tests/simulation/test_control.py
@@ -184,7 +184,7 @@
     ),
     "4 a disk that refused once is never tried again": (
         SCENARIOS["bad_disks"],
-        [(RegisterHost, "_try_disk_later", stay_silent)],
+        [(RegisterHost, "_schedule_disk_retry", stay_silent)],
     ),
 }
 
--- a/tests/simulation/test_large_values.py
+++ b/tests/simulation/test_large_values.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from iristrack.controlplane.deciders import transfer_ns
-from iristrack.controlplane.operator_api import CALL_NS, MOST_BODY
+from iristrack.controlplane.operator_api import CALL_TIMEOUT_NS, MAX_BODY_BYTES
+from iristrack.controlplane.state_machine_runner import transfer_ns
 from iristrack.register import Committed, ProposerResult, Unavailable, Unchanged
 from iristrack.simulation.register_machines import USUAL_SYNC_NS, RegisterMachine, Surroundings
 from iristrack.simulation.register_network import FAULTLESS, LossyNetwork
@@ -24,7 +24,7 @@
 
 
 def long_value(number: int) -> bytes:
-    return b"%d" % number + bytes(MOST_BODY - 1)
+    return b"%d" % number + bytes(MAX_BODY_BYTES - 1)
 
 
 class NarrowNetwork(LossyNetwork):
@@ -32,7 +32,7 @@
 
     def __init__(self, world: World, rng: random.Random, megabits_per_s: int) -> None:
         super().__init__(world, rng, FAULTLESS, Counter())
-        self.value_ns = MOST_BODY * 8 * 1000 // megabits_per_s
+        self.value_ns = MAX_BODY_BYTES * 8 * 1000 // megabits_per_s
         self._free_at: dict[tuple[str, str], int] = {}
         self._transfers: list[tuple[str, str, int, int]] = []  # of values: sender, receiver, begin, end
 
@@ -50,7 +50,7 @@
             for sender, receiver, begins, ends in self._transfers
             if node in (sender, receiver)
         )
-        return moved_ns * MOST_BODY // self.value_ns
+        return moved_ns * MAX_BODY_BYTES // self.value_ns
 
 
 def results_of_changes(
@@ -69,7 +69,7 @@
     def change_often() -> None:
         first = machines[0]
         for number in range(CHANGES):
-            deadline = world.now + CALL_NS + transfer_ns(MOST_BODY)
+            deadline = world.now + CALL_TIMEOUT_NS + transfer_ns(MAX_BODY_BYTES)
             results.append(first.host.change(KEY, lambda value, number=number: long_value(number), deadline))
             first.scheduler.sleep(PAUSE_NS)
 
@@ -121,11 +121,11 @@
 
     def write_and_read() -> None:
         host, scheduler = machines[0].host, machines[0].scheduler
-        deadline = world.now + CALL_NS + transfer_ns(MOST_BODY)
+        deadline = world.now + CALL_TIMEOUT_NS + transfer_ns(MAX_BODY_BYTES)
         results.append(host.change(KEY, lambda value: long_value(1), deadline))
         scheduler.sleep(PAUSE_NS)
         moved = network.moved_bytes("core0")
-        results.append(host.change(KEY, lambda value: Unchanged(), world.now + CALL_NS))
+        results.append(host.change(KEY, lambda value: Unchanged(), world.now + CALL_TIMEOUT_NS))
         scheduler.sleep(PAUSE_NS)
         results.append(network.moved_bytes("core0") - moved)
 
