--- a/benchmarks/prefix_index.py
+++ b/benchmarks/prefix_index.py
@@ -24,8 +24,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from iristrack.prefix_index.answers import EventsAnswer, KeptEvent, parse_events  # noqa: E402
 from iristrack.prefix_index.index import PrefixIndex  # noqa: E402
+from iristrack.prefix_index.kv_events import EventsAnswer, KeptEvent, parse_events  # noqa: E402
 from iristrack.prefix_index.parts import Part, parse_prefix  # noqa: E402
 
 HOLDERS = [f"10.0.0.{number}:8080" for number in range(5)]
--- a/iristrack/controlplane/kept_prompts.py
+++ b/iristrack/controlplane/kept_prompts.py
@@ -12,7 +12,8 @@
 from iristrack.http1 import messages as http
 from iristrack.http1.fetching import Caller
 from iristrack.placement.ranking import hash64, mix64
-from iristrack.prefix_index.answers import (
+from iristrack.prefix_index.catalog import KeptCatalog, changes_of_events, changes_of_list, coalesced
+from iristrack.prefix_index.kv_events import (
     START,
     Cursor,
     MalformedAnswer,
@@ -20,7 +21,6 @@
     parse_events,
     parse_list,
 )
-from iristrack.prefix_index.catalog import KeptCatalog, changes_of_events, changes_of_list, coalesced
 from iristrack.runtime.scheduler import Cancelled, Scheduler, Task, clock
 from iristrack.wire.codec import encode
 from iristrack.wire.connection import PeerConnection
--- a/iristrack/controlplane/rollouts.py
+++ b/iristrack/controlplane/rollouts.py
@@ -1,7 +1,7 @@
 """The duty of roll-outs: held by one core member at a time, fenced; it moves each running roll-out on.
 
-`engines/rollouts.py` says what comes next, `engines/version_test.py` whether the new version is bad; this file brings
-the evidence of all sidecars together, keeps the time since the orders, and writes each step to the register.
+`engines/rollouts.py` says what comes next, `engines/canary_analysis.py` whether the new version is bad; this file
+brings the evidence of all sidecars together, keeps the time since the orders, and writes each step to the register.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from iristrack.controlplane.duty_holder import DutyHolder
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.duties.lease import Lease
+from iristrack.engines.canary_analysis import NO_ANSWERS, Answers, Row, Verdict, VersionTest
 from iristrack.engines.rollouts import RUNNING, WHOLE, Situation, next_state
-from iristrack.engines.version_test import NO_ANSWERS, Answers, Row, Verdict, VersionTest
 from iristrack.placement.servers import ListedServer
 from iristrack.platform_api.server_list import from_message
 from iristrack.register import Committed, Overtaken, Rejected
--- a/iristrack/controlplane/weight_orders.py
+++ b/iristrack/controlplane/weight_orders.py
@@ -6,7 +6,7 @@
 
 from iristrack.duties.lease import Lease
 from iristrack.engines.reports import MalformedReport, Report, read_report
-from iristrack.engines.roll import Upgrade
+from iristrack.engines.rolling_upgrade import Upgrade
 from iristrack.http1 import messages as http
 from iristrack.http1.fetching import Caller
 from iristrack.runtime.scheduler import Scheduler
--- a/iristrack/controlplane/weights.py
+++ b/iristrack/controlplane/weights.py
@@ -1,7 +1,7 @@
 """The duty of bringing servers to the named weights: held by one core member at a time, fenced.
 
-`duty_holder.py` holds the duty, `engines/roll.py` says which servers go next, `weight_orders.py` brings one server to
-its revision; this file puts them together and tells the sidecars which servers are busy.
+`duty_holder.py` holds the duty, `engines/rolling_upgrade.py` says which servers go next, `weight_orders.py` brings one
+server to its revision; this file puts them together and tells the sidecars which servers are busy.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.controlplane.weight_orders import WeightOrders
 from iristrack.duties.lease import Lease
-from iristrack.engines.roll import Roll, Upgrade, wanted_upgrades
+from iristrack.engines.rolling_upgrade import Roll, Upgrade, wanted_upgrades
 from iristrack.placement.servers import ListedServer
 from iristrack.platform_api.server_list import from_message
 from iristrack.relay import topics
--- a/iristrack/dataplane/prompt_parts.py
+++ b/iristrack/dataplane/prompt_parts.py
@@ -10,8 +10,8 @@
 from iristrack.placement.choice import Prompt
 from iristrack.placement.engines import cache_salt, store_of
 from iristrack.placement.servers import Server
-from iristrack.prefix_index.inflight import Expected
 from iristrack.prefix_index.parts import shared_parts, shared_tokens
+from iristrack.prefix_index.pending_prefills import Expected
 from iristrack.runtime.scheduler import clock
 
 LEAST_FETCH_TOKENS = 64  # fewer are read faster than they are moved
--- a/iristrack/dataplane/state.py
+++ b/iristrack/dataplane/state.py
@@ -21,7 +21,7 @@
 from iristrack.placement.rollouts import Rollouts
 from iristrack.placement.servers import ServerTable
 from iristrack.prefix_index.index import PrefixIndex
-from iristrack.prefix_index.inflight import FirstReads
+from iristrack.prefix_index.pending_prefills import FirstReads
 from iristrack.runtime.scheduler import Scheduler
 from iristrack.settings import Settings
 
--- a/iristrack/placement/rollouts.py
+++ b/iristrack/placement/rollouts.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass
 from statistics import median
 
+from iristrack.engines.canary_analysis import NO_ANSWERS, Answers
 from iristrack.engines.rollouts import (
     FINISHED,
     REVERTED,
@@ -21,7 +22,6 @@
     canary_turn,
     is_loaded,
 )
-from iristrack.engines.version_test import NO_ANSWERS, Answers
 from iristrack.placement.ranking import hash64, mix64
 from iristrack.placement.servers import Server
 from iristrack.wire.messages import AnswerCounts, RolloutState
--- a/iristrack/prefix_index/catalog.py
+++ b/iristrack/prefix_index/catalog.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from iristrack.prefix_index.answers import KeptEvent, KeptPart
+from iristrack.prefix_index.kv_events import KeptEvent, KeptPart
 from iristrack.wire.messages import KeptParts, PartTokens
 
 MOST_ENTRIES = 500_000
--- a/iristrack/prefix_index/digest.py
+++ b/iristrack/prefix_index/digest.py
@@ -13,7 +13,7 @@
 from itertools import islice
 from typing import TypeAlias
 
-from iristrack.prefix_index.answers import START, Cursor, EventsAnswer, KeptPart, ListAnswer, advance
+from iristrack.prefix_index.kv_events import START, Cursor, EventsAnswer, KeptPart, ListAnswer, advance
 
 
 @dataclass(frozen=True, slots=True)
--- a/iristrack/prefix_index/index.py
+++ b/iristrack/prefix_index/index.py
@@ -13,7 +13,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from iristrack.prefix_index.answers import (
+from iristrack.prefix_index.digest import Digest, Position, Snapshot
+from iristrack.prefix_index.kv_events import (
     START,
     Cursor,
     EventsAnswer,
@@ -21,7 +22,6 @@
     ListAnswer,
     advance,
 )
-from iristrack.prefix_index.digest import Digest, Position, Snapshot
 from iristrack.prefix_index.parts import Part
 from iristrack.prefix_index.table import EntryTable, Space, SpaceKey
 from iristrack.wire.messages import KeptParts
--- a/tests/controlplane/test_weights_duty.py
+++ b/tests/controlplane/test_weights_duty.py
@@ -9,7 +9,7 @@
 from iristrack.controlplane.weights import WeightsDuty
 from iristrack.duties.lease import ACT_NS
 from iristrack.engines.reports import Report
-from iristrack.engines.roll import Upgrade
+from iristrack.engines.rolling_upgrade import Upgrade
 from iristrack.simulation.virtual_time import VirtualScheduler, World
 from iristrack.wire.messages import DutyValue
 from tests.controlplane.calls import Log
--- a/tests/dataplane/test_request_lines.py
+++ b/tests/dataplane/test_request_lines.py
@@ -7,7 +7,7 @@
 from iristrack.http1 import messages as http
 from iristrack.placement.choice import PIECE_TOKENS
 from iristrack.placement.engines import cache_salt
-from iristrack.prefix_index.answers import KeptPart, ListAnswer
+from iristrack.prefix_index.kv_events import KeptPart, ListAnswer
 from iristrack.runtime.scheduler import clock
 from tests.dataplane.stand import (
     MODEL,
--- a/tests/engines/test_version_test.py
+++ b/tests/engines/test_canary_analysis.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from iristrack.engines.version_test import ALL_ROUTES, Answers, VersionTest
+from iristrack.engines.canary_analysis import ALL_ROUTES, Answers, VersionTest
 
 ROUTES = ("statement", "query")
 SERVERS = ("s1", "s2", "s3")
--- a/tests/engines/test_roll.py
+++ b/tests/engines/test_rolling_upgrade.py
@@ -6,7 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from iristrack.engines.roll import AT_ONCE_SHARE, PREPARE_NS, REST_NS, Roll, Upgrade, wanted_upgrades
+from iristrack.engines.rolling_upgrade import (
+    AT_ONCE_SHARE,
+    PREPARE_NS,
+    REST_NS,
+    Roll,
+    Upgrade,
+    wanted_upgrades,
+)
 from iristrack.placement.servers import ListedServer
 
 STEP_NS = 100_000_000
--- a/tests/engines/test_rollouts.py
+++ b/tests/engines/test_rollouts.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from iristrack.engines.canary_analysis import Answers, VersionTest
 from iristrack.engines.rollouts import (
     FINISHED,
     LEAST_CANARY_SHARE,
@@ -18,7 +19,6 @@
     is_loaded,
     next_state,
 )
-from iristrack.engines.version_test import Answers, VersionTest
 from iristrack.wire.messages import RolloutState
 
 NS_PER_MS = 1_000_000
--- a/tests/prefix_index/test_catalog.py
+++ b/tests/prefix_index/test_catalog.py
@@ -3,7 +3,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.prefix_index.answers import KeptEvent, KeptPart
 from iristrack.prefix_index.catalog import (
     KeptCatalog,
     changes_of_events,
@@ -11,6 +10,7 @@
     coalesced,
 )
 from iristrack.prefix_index.index import PrefixIndex
+from iristrack.prefix_index.kv_events import KeptEvent, KeptPart
 from iristrack.prefix_index.parts import Part
 from iristrack.wire.messages import KeptParts, PartTokens
 
--- a/tests/prefix_index/test_digest.py
+++ b/tests/prefix_index/test_digest.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.prefix_index.answers import Cursor, EventsAnswer, KeptEvent, KeptPart, ListAnswer
 from iristrack.prefix_index.digest import Delta, Generation, HolderLog, Position, Snapshot
 from iristrack.prefix_index.index import PrefixIndex
+from iristrack.prefix_index.kv_events import Cursor, EventsAnswer, KeptEvent, KeptPart, ListAnswer
 
 A = "10.0.0.1:8080"
 SALT, MODEL = "v1", "daka510000"
--- a/tests/prefix_index/test_index.py
+++ b/tests/prefix_index/test_index.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from iristrack.prefix_index.answers import START, Cursor, EventsAnswer, KeptEvent, KeptPart, ListAnswer
 from iristrack.prefix_index.index import PROVISIONAL_NS, Entry, PrefixIndex
+from iristrack.prefix_index.kv_events import START, Cursor, EventsAnswer, KeptEvent, KeptPart, ListAnswer
 from iristrack.prefix_index.parts import Part
 
 A, B = "10.0.0.1:8080", "10.0.0.2:8080"
--- a/tests/prefix_index/test_answers.py
+++ b/tests/prefix_index/test_kv_events.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.prefix_index.answers import (
+from iristrack.prefix_index.kv_events import (
     START,
     Cursor,
     EventsAnswer,
--- a/tests/prefix_index/test_inflight.py
+++ b/tests/prefix_index/test_pending_prefills.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from iristrack.prefix_index.inflight import EXPIRY_NS, Expected, FirstReads, Reader
 from iristrack.prefix_index.parts import Part
+from iristrack.prefix_index.pending_prefills import EXPIRY_NS, Expected, FirstReads, Reader
 
 A, B = "10.0.0.1:8080", "10.0.0.2:8080"
 SALT, MODEL = "v1", "daka510000"
--- a/tests/prefix_index/test_state_machine.py
+++ b/tests/prefix_index/test_state_machine.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from iristrack.prefix_index.answers import EventsAnswer, KeptEvent, KeptPart, ListAnswer
 from iristrack.prefix_index.index import PROVISIONAL_NS, PrefixIndex
+from iristrack.prefix_index.kv_events import EventsAnswer, KeptEvent, KeptPart, ListAnswer
 from iristrack.prefix_index.parts import Part
 
 MODEL = "m"
