--- a/iristrack/admission/retry_budget.py
+++ b/iristrack/admission/retry_budget.py
@@ -23,18 +23,18 @@
         """Starts with `FIRST_SHARE` of what it may hold; `sidecars` share the slack."""
         self.ratio = ratio * SAFETY
         self.slack = slack * SAFETY
-        self.most = 0.0
+        self.capacity = 0.0
         self.tokens = FIRST_SHARE * self.slack / max(1, sidecars)
-        self.share(sidecars)
+        self.set_sidecars(sidecars)
 
-    def share(self, sidecars: int) -> None:
+    def set_sidecars(self, sidecars: int) -> None:
         """Follow the number of sidecars that spend."""
-        self.most = self.slack / max(1, sidecars)
-        self.tokens = min(self.tokens, self.most)
+        self.capacity = self.slack / max(1, sidecars)
+        self.tokens = min(self.tokens, self.capacity)
 
     def earn(self) -> None:
         """A request was sent for the first time."""
-        self.tokens = min(self.most, self.tokens + self.ratio)
+        self.tokens = min(self.capacity, self.tokens + self.ratio)
 
     def spend(self) -> bool:
         """May one more repeat be sent now?"""
--- a/iristrack/cli/system_explain.py
+++ b/iristrack/cli/system_explain.py
@@ -15,16 +15,14 @@
 from iristrack.configuration.routes import RouteTable, normalise_host
 from iristrack.configuration.tenants import TenantTable
 from iristrack.controlplane.status import ModelStatus, ServerStatus
-from iristrack.placement.choice import CANDIDATES, FIRST_LEAD, SPILL_LOAD, ranked
-from iristrack.placement.engines import serving
+from iristrack.placement.choice import CANDIDATE_COUNT, FIRST_RANK_BONUS, SPILLOVER_LOAD, rank_servers
+from iristrack.placement.engines import servers_with_model
 from iristrack.placement.servers import ListedServer, Server, ServerTable
 from iristrack.prefix_index.parts import MalformedPrefix, parse_prefix
 
-FIRST = (
-    f"first of the key's ranking; takes a prompt that nobody keeps unless it is {FIRST_LEAD:g} pieces busier"
-)
+FIRST = f"first of the key's ranking; takes a prompt that nobody keeps unless it is {FIRST_RANK_BONUS:g} pieces busier"
 SECOND = "second candidate: taken where it is less busy or keeps more of the prompt"
-SPILL = f"helps only while both candidates are busier than {SPILL_LOAD:g} pieces"
+SPILL = f"helps only while both candidates are busier than {SPILLOVER_LOAD:g} pieces"
 DRAINING = "draining: takes no new requests"
 BUSY = "takes new weights: turns requests away"
 
@@ -190,12 +188,12 @@
     own = [entry for entry in listed if entry.service == service.label]
     told = {entry.instance: entry for entry in own}
     table = ServerTable()
-    table.take_list(map(_listed_server, own))
+    table.apply_server_list(map(_listed_server, own))
     unused = {
         server.instance_id: _why_unused(server, told, model, least) for server in table.servers.values()
     }
     usable = [server for server in table.servers.values() if not unused[server.instance_id]]
-    ranking = ranked(usable, key, random.Random(0), len(usable))
+    ranking = rank_servers(usable, key, random.Random(0), len(usable))
     rows = [_row(server, told, model, place, _why_ranked(place)) for place, server in enumerate(ranking, 1)]
     rest = sorted((name, why) for name, why in unused.items() if why)
     rows += [_row(table.servers[name], told, model, None, why) for name, why in rest]
@@ -215,9 +213,9 @@
         return DRAINING
     if told[server.instance_id].busy:
         return BUSY
-    if model and not serving([server], model, 0):
+    if model and not servers_with_model([server], model, 0):
         return f"does not hold the model {model}"
-    if model and not serving([server], model, least.get(model, 0)):
+    if model and not servers_with_model([server], model, least.get(model, 0)):
         return f"holds an older revision of {model} than the one that is named: used only for a short while"
     return ""
 
@@ -225,7 +223,7 @@
 def _why_ranked(place: int) -> str:
     if place == 1:
         return FIRST
-    return SECOND if place <= CANDIDATES else SPILL
+    return SECOND if place <= CANDIDATE_COUNT else SPILL
 
 
 def _row(
--- a/iristrack/cli/system_sources.py
+++ b/iristrack/cli/system_sources.py
@@ -16,7 +16,7 @@
 from iristrack.controlplane import status
 from iristrack.controlplane.register_host import MEMBERS_BLOB
 from iristrack.controlplane.status import MemberStatus, SystemStatus, TopicStatus
-from iristrack.engines.rollouts import WHOLE
+from iristrack.engines.rollouts import FULL_SHARE
 from iristrack.register import Acceptor, Cell
 from iristrack.relay import topics
 from iristrack.store.cells import CellsError
@@ -196,7 +196,7 @@
         state = next((state for state in states if state.service == service), None)
         if state is None:
             return None
-        return RolloutStatus(service, state.version, state.phase, state.share / WHOLE)
+        return RolloutStatus(service, state.version, state.phase, state.share / FULL_SHARE)
 
     def _read(self) -> SeenCells:
         try:
--- a/iristrack/controlplane/changes.py
+++ b/iristrack/controlplane/changes.py
@@ -9,7 +9,7 @@
 from iristrack.configuration.amendment import Amendment, apply_amendment
 from iristrack.configuration.findings import Finding
 from iristrack.configuration.model import Configuration
-from iristrack.engines.named_weights import MOST_MODELS
+from iristrack.engines.named_weights import MAX_MODELS
 from iristrack.engines.rollouts import RUNNING
 from iristrack.register import Refuse, Unchanged
 from iristrack.wire.messages import (
@@ -29,7 +29,7 @@
 NOT_HIGHER = "the revision is not higher than the current one"
 HELD = "the duty is held by another"
 INVALID = "the configuration that would result is invalid"
-TOO_MANY_MODELS = f"weights of {MOST_MODELS} models are named already"
+TOO_MANY_MODELS = f"weights of {MAX_MODELS} models are named already"
 
 MOST_ROLLOUTS = 64  # services whose newest roll-out is kept
 ROLLOUT_RUNS = "another roll-out of this service is running"
@@ -160,7 +160,7 @@
         versions = {version.model: version.revision for version in current.versions}
         if versions.get(model, 0) >= revision:
             return Unchanged()
-        if model not in versions and len(versions) >= MOST_MODELS:
+        if model not in versions and len(versions) >= MAX_MODELS:
             return Refuse(TOO_MANY_MODELS)
         versions[model] = revision
         named = tuple(ModelRevision(name, number) for name, number in sorted(versions.items()))
--- a/iristrack/controlplane/distribution.py
+++ b/iristrack/controlplane/distribution.py
@@ -112,13 +112,13 @@
         for version in message.known:
             if version.topic == topics.CONFIGURATION:
                 known.sent[version.topic] = max(version.sequence, known.sent.get(version.topic, -1))
-        self.topics.saw(message.known)
+        self.topics.observe(message.known)
         if message.catch_up:
             self._catch_up(connection, known, message.known)
 
     def on_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
         """A subscriber tells how new its copies are: one that wants pushes is sent what it has missed."""
-        self.topics.saw(message.known)
+        self.topics.observe(message.known)
         subscriber = self.subscribers.get(connection)
         if subscriber is not None and subscriber.push:
             self._catch_up(connection, subscriber, message.known)
--- a/iristrack/controlplane/duty_holder.py
+++ b/iristrack/controlplane/duty_holder.py
@@ -52,14 +52,14 @@
 
     def on_value(self, value: bytes) -> None:
         """The register's value was told of."""
-        self.lease.saw(decode_value(value, DutyValue), self._scheduler.now())
+        self.lease.observe(decode_value(value, DutyValue), self._scheduler.now())
 
     def keep(self) -> bool:
         """Claim or renew the duty where that is due, from a task of the loop; may this process act now?"""
         now = self._scheduler.now()
         if self.lease.seen is None:
-            self.lease.saw(None, now)
-        if self.lease.wants_claim(now):
+            self.lease.observe(None, now)
+        if self.lease.should_claim(now):
             self._claim(now)
         return self.may_act
 
@@ -71,7 +71,7 @@
         if isinstance(result, Committed):
             self._committed(result.value, began, now)
         elif isinstance(result, Rejected | Overtaken):
-            self.lease.saw(decode_value(result.value, DutyValue), now)
+            self.lease.observe(decode_value(result.value, DutyValue), now)
 
     def _committed(self, committed: bytes, began: int, now: int) -> None:
         value = decode_value(committed, DutyValue)
--- a/iristrack/controlplane/kept_prompts.py
+++ b/iristrack/controlplane/kept_prompts.py
@@ -12,9 +12,9 @@
 from iristrack.http1 import messages as http
 from iristrack.http1.fetching import Caller
 from iristrack.placement.ranking import hash64, mix64
-from iristrack.prefix_index.catalog import KeptCatalog, changes_of_events, changes_of_list, coalesced
+from iristrack.prefix_index.catalog import KeptCatalog, changes_of_events, changes_of_list, coalesce_changes
 from iristrack.prefix_index.kv_events import (
-    START,
+    START_CURSOR,
     Cursor,
     MalformedAnswer,
     advance,
@@ -107,8 +107,8 @@
         if not everything:
             return
         self._own, self._all = [], []
-        own_frame = encode(KeptBatch(tuple(coalesced(own)))) if own else None
-        all_frame = encode(KeptBatch(tuple(coalesced(everything))))
+        own_frame = encode(KeptBatch(tuple(coalesce_changes(own)))) if own else None
+        all_frame = encode(KeptBatch(tuple(coalesce_changes(everything))))
         for connection, follower in list(self._followers.items()):
             if connection.closed:
                 del self._followers[connection]
@@ -150,7 +150,7 @@
 
     def _watch(self, holder: str) -> None:
         caller = Caller(self.scheduler, parse_address(holder))
-        cursor = START
+        cursor = START_CURSOR
         listed_at: int | None = None
         failed = False
         try:
@@ -164,7 +164,7 @@
                 except (OSError, http.Malformed, http.Truncated, MalformedAnswer):
                     if not failed:  # nothing is to be had there: it counts as empty until it answers
                         self._publish([KeptParts(holder, True, "", "")])
-                        cursor = START
+                        cursor = START_CURSOR
                     failed = True
                     self.scheduler.sleep(PAUSE_NS)
         except Cancelled:
--- a/iristrack/controlplane/load_hub.py
+++ b/iristrack/controlplane/load_hub.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from iristrack.placement.loads import LoadBoard, add_loads, report_interval
+from iristrack.placement.loads import LoadAggregator, add_loads, report_interval
 from iristrack.placement.report_stream import ReportStream
 from iristrack.runtime.scheduler import Scheduler
 from iristrack.wire.codec import encode
@@ -24,8 +24,8 @@
         """Starts with the first turn of the loop."""
         self.scheduler = scheduler
         self.tell_members = tell_members
-        self.own = LoadBoard()
-        self.members = LoadBoard()
+        self.own = LoadAggregator()
+        self.members = LoadAggregator()
         self._reporters: dict[PeerConnection, str] = {}
         self._to_members = ReportStream(node)
         self._to_sidecars = ReportStream(node)
@@ -34,17 +34,17 @@
     def from_sidecar(self, connection: PeerConnection, loads: ServerLoads) -> None:
         """A sidecar told its loads."""
         if connection not in self._reporters:
-            self._to_sidecars.begin_anew()
+            self._to_sidecars.force_full_report()
         self._reporters[connection] = loads.node
-        self.own.take(loads, self.scheduler.now())
+        self.own.apply_report(loads, self.scheduler.now())
 
     def from_member(self, loads: ServerLoads) -> None:
         """Another member told the sum of its sidecars' loads."""
-        self.members.take(loads, self.scheduler.now())
+        self.members.apply_report(loads, self.scheduler.now())
 
     def member_joined(self) -> None:
         """A member was dialled that may know nothing of this one's loads."""
-        self._to_members.begin_anew()
+        self._to_members.force_full_report()
 
     @property
     def sidecars(self) -> int:
--- a/iristrack/controlplane/program.py
+++ b/iristrack/controlplane/program.py
@@ -393,7 +393,7 @@
             self.load_hub.from_sidecar(connection, message)
 
     def _on_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
-        self.named_weights.heard_ages(message.named, self.scheduler.now())
+        self.named_weights.learn_ages(message.named, self.scheduler.now())
         if connection in self.distribution.subscribers:
             self.distribution.on_heartbeat(connection, message)
             connection.send(self._heartbeat())
@@ -403,7 +403,7 @@
     def _note_named_weights(self, update: Update) -> None:
         told = decode_value(update.value, VersionsValue) if update.topic == topics.VERSIONS else None
         for version in told.versions if told is not None else ():
-            self.named_weights.heard(version.model, version.revision, self.scheduler.now())
+            self.named_weights.learn(version.model, version.revision, self.scheduler.now())
 
     def _named(self) -> dict[str, int]:
         update = self.distribution.topics.get(topics.VERSIONS)
--- a/iristrack/controlplane/rollouts.py
+++ b/iristrack/controlplane/rollouts.py
@@ -13,8 +13,8 @@
 from iristrack.controlplane.duty_holder import DutyHolder
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.duties.lease import Lease
-from iristrack.engines.canary_analysis import NO_ANSWERS, Answers, Row, Verdict, VersionTest
-from iristrack.engines.rollouts import RUNNING, WHOLE, Situation, next_state
+from iristrack.engines.canary_analysis import NO_ANSWERS, Answers, CanaryAnalysis, RouteServer, Verdict
+from iristrack.engines.rollouts import FULL_SHARE, RUNNING, RolloutObservation, next_state
 from iristrack.placement.servers import ListedServer
 from iristrack.platform_api.server_list import from_message
 from iristrack.register import Committed, Overtaken, Rejected
@@ -47,7 +47,7 @@
     elapsed_ms: int  # since the order, as the newest state told,
     heard_at: int  # and when that was heard of here (ns)
     whole_at: int = 0  # ns; when this process first knew that the new version gets everything, 0: not yet
-    test: VersionTest = field(default_factory=VersionTest)
+    test: CanaryAnalysis = field(default_factory=CanaryAnalysis)
     verdict: Verdict | None = None
 
     def elapsed_ns(self, now: int) -> int:
@@ -82,9 +82,9 @@
         oldest = min(self._told, key=lambda process: self._told[process].heard_at)
         del self._told[oldest]
 
-    def new_answers(self, number: int) -> dict[Row, Answers]:
+    def new_answers(self, number: int) -> dict[RouteServer, Answers]:
         """Of the new version's servers, by route and server."""
-        found: dict[Row, Answers] = {}
+        found: dict[RouteServer, Answers] = {}
         for row in self._rows(number):
             if row.is_new:
                 place = (row.route, row.instance)
@@ -178,7 +178,7 @@
             known = self.watched[state.service] = Watched(state.number, state.elapsed_ms, now)
         if known.elapsed_ns(now) < state.elapsed_ms * NS_PER_MS:
             known.elapsed_ms, known.heard_at = state.elapsed_ms, now
-        if state.share >= WHOLE and not known.whole_at:
+        if state.share >= FULL_SHARE and not known.whole_at:
             known.whole_at = now
 
     def _run(self) -> None:
@@ -195,7 +195,7 @@
         """Follow the evidence, whoever holds the duty: one that takes over knows it."""
         watched = self.watched[state.service]
         new, old = self.evidence.new_answers(state.number), self.evidence.old_answers(state.number)
-        watched.verdict = watched.verdict or watched.test.look(new, old)
+        watched.verdict = watched.verdict or watched.test.update(new, old)
 
     def _move_on(self, state: RolloutState) -> None:
         watched = self.watched[state.service]
@@ -208,22 +208,22 @@
             return
         self._write(state, replace(after, elapsed_ms=elapsed_ms), watched)
 
-    def _situation(self, state: RolloutState, watched: Watched, now: int) -> Situation:
+    def _situation(self, state: RolloutState, watched: Watched, now: int) -> RolloutObservation:
         own = [server for server in self.servers if server.service == state.service]
         new = [server for server in own if server.software == state.version]
         old = [server for server in own if server.software != state.version]
         loads = self.loads()
-        return Situation(
+        return RolloutObservation(
             elapsed_ns=watched.elapsed_ns(now),
-            whole_ns=now - watched.whole_at if watched.whole_at else 0,
+            full_share_ns=now - watched.whole_at if watched.whole_at else 0,
             new_ready=sum(server.ready for server in new),
             old_ready=sum(server.ready for server in old),
             answers=watched.test.answers.total,
-            under_way_old=sum(loads[s.instance_id].requests for s in old if s.instance_id in loads),
+            old_inflight=sum(loads[s.instance_id].requests for s in old if s.instance_id in loads),
             is_bad=watched.verdict is not None,
             all_answers=self.evidence.total(state.number),
-            most_share=self._bounds.canary_share,
-            most_slack=self._bounds.canary_slack,
+            max_bad_share=self._bounds.canary_share,
+            bad_request_slack=self._bounds.canary_slack,
         )
 
     def _write(self, before: RolloutState, after: RolloutState, watched: Watched) -> None:
--- a/iristrack/controlplane/weights.py
+++ b/iristrack/controlplane/weights.py
@@ -12,7 +12,7 @@
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.controlplane.weight_orders import WeightOrders
 from iristrack.duties.lease import Lease
-from iristrack.engines.rolling_upgrade import Roll, Upgrade, wanted_upgrades
+from iristrack.engines.rolling_upgrade import RollingUpgrade, Upgrade, wanted_upgrades
 from iristrack.placement.servers import ListedServer
 from iristrack.platform_api.server_list import from_message
 from iristrack.relay import topics
@@ -49,7 +49,7 @@
         self.duty = DutyHolder(scheduler, register, topics.WEIGHTS_DUTY, self.lease, publish, log)
         self.orders = WeightOrders(scheduler, self.lease, log)
         self.servers: list[ListedServer] = []
-        self.roll = Roll()
+        self.roll = RollingUpgrade()
         self._told: BusyServers | None = None
         self._done: dict[tuple[str, str], int] = {}  # (instance, model): revision that its report told
         self._updates = 0
@@ -65,7 +65,7 @@
     def _run(self) -> None:
         while True:
             self.scheduler.sleep(TICK_NS)
-            is_work = bool(self._wanted()) or self.roll.under_way  # else nobody has to hold the duty
+            is_work = bool(self._wanted()) or self.roll.in_progress  # else nobody has to hold the duty
             if is_work and self.duty.keep():
                 self._work()
 
@@ -100,7 +100,7 @@
                 self._done[upgrade.instance_id, upgrade.model] = upgrade.revision
                 self.roll.ended(upgrade.instance_id)
             else:
-                self.roll.given_up(upgrade.instance_id, self.scheduler.now())
+                self.roll.postpone(upgrade.instance_id, self.scheduler.now())
             self._tell_busy()
 
     def _tell_busy(self) -> None:
--- a/iristrack/dataplane/control_link.py
+++ b/iristrack/dataplane/control_link.py
@@ -184,12 +184,14 @@
         """A member tells how new its topics are: what the hub does not push in time is asked for."""
         self.core.heard(connection, message)
         if message.in_quorum and self._knows_rollouts_of(message):
-            self.plane.rollouts.confirmed(self.plane.scheduler.now())
+            self.plane.rollouts.renew_lease(self.plane.scheduler.now())
         self._on_named_ages(message.named)
         self._look_who_knows_ages(message)
         self._choose_hub()
         if connection is not self._hub:
-            self.catch_up.heard(connection, self.topics.versions(), message.known, self.plane.scheduler.now())
+            self.catch_up.record_versions(
+                connection, self.topics.versions(), message.known, self.plane.scheduler.now()
+            )
             self._set_ask_timer()
 
     def _ask(self) -> None:
@@ -198,7 +200,7 @@
         known = self.topics.versions()
         for connection in self.catch_up.take_due(known, self.plane.scheduler.now()):
             if connection.closed:
-                self.catch_up.lost(connection)
+                self.catch_up.source_lost(connection)
             elif connection is not self._hub:  # the hub sends what it has by itself
                 connection.send(Subscribe(known, push=False))
         self._set_ask_timer()
@@ -259,7 +261,7 @@
         told = decode_value(value, RolloutsValue)
         if told is None:
             return
-        self.plane.rollouts.follow(told.rollouts)
+        self.plane.rollouts.apply_states(told.rollouts)
         for state in told.rollouts:
             if (state.phase, state.share) != self._told_rollouts.get(state.service):
                 self._told_rollouts[state.service] = (state.phase, state.share)
@@ -305,7 +307,7 @@
             return
         now = self.plane.scheduler.now()
         for version in told.versions:
-            if self.plane.named_weights.heard(version.model, version.revision, now):
+            if self.plane.named_weights.learn(version.model, version.revision, now):
                 self.log.info("weights named", model=version.model, revision=version.revision)
 
     def _on_named_ages(self, ages: tuple[NamedAge, ...]) -> None:
@@ -313,7 +315,7 @@
         now = self.plane.scheduler.now()
         models = {age.model for age in ages}
         before = {model: self.plane.required_revision(model, now) for model in models}
-        self.plane.named_weights.heard_ages(ages, now)
+        self.plane.named_weights.learn_ages(ages, now)
         for model in sorted(models):
             required = self.plane.required_revision(model, now)
             if required > before[model]:
@@ -345,7 +347,7 @@
         for taken in told.taken:
             server = self.plane.servers.servers.get(taken.instance)
             if server is not None:
-                server.saw_revision(taken.model, taken.revision)
+                server.record_revision(taken.model, taken.revision)
         now = self.plane.scheduler.now()
         busy = set(told.instances)
         for instance in busy | self._busy:
--- a/iristrack/dataplane/discovery.py
+++ b/iristrack/dataplane/discovery.py
@@ -29,9 +29,9 @@
 
 def apply_list(plane: PlaneState, entries: list[ListedServer]) -> None:
     """Follow a whole list: the table of servers, and the connections to them."""
-    for server in plane.servers.take_list(entries):
+    for server in plane.servers.apply_server_list(entries):
         plane.index.forget(server.address)
-        plane.first_reads.forget(server.address)
+        plane.pending_prefills.forget(server.address)
     followed = [
         (
             mi.ServerEntry(
--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -24,8 +24,8 @@
 from iristrack.dataplane.state import PlaneState
 from iristrack.http1 import messages as http
 from iristrack.http1.messages import header_text
-from iristrack.placement.choice import choose, pieces_to_read
-from iristrack.placement.engines import serving
+from iristrack.placement.choice import choose_server, chunks_to_prefill
+from iristrack.placement.engines import servers_with_model
 from iristrack.placement.servers import Server
 from iristrack.runtime.scheduler import clock
 
@@ -135,15 +135,17 @@
 
     def _choose(self, now: int) -> Server | None:
         every = self.plane.servers.of_service(self.service)
-        listed = self.plane.rollouts.allowed(self.service, every, bool(self.tried), now, self.plane.rng)
+        listed = self.plane.rollouts.allowed_servers(
+            self.service, every, bool(self.tried), now, self.plane.rng
+        )
         usable = [s for s in listed if s.usable(now) and s.instance_id not in self.failed_at]
-        usable = [s for s in usable if not s.left_out] or usable
+        usable = [s for s in usable if not s.ejected] or usable
         model = self.request.model
         if model is not None:
-            usable = serving(usable, model, self.plane.required_revision(model, now))
+            usable = servers_with_model(usable, model, self.plane.required_revision(model, now))
         if self.request.output_tokens > SHORT_OUTPUT_TOKENS:
             usable = [s for s in usable if not s.preparing] or usable
-        return choose(usable, self.request.key, self.prompt.at, self.plane.rng)
+        return choose_server(usable, self.request.key, self.prompt.at, self.plane.rng)
 
     # ---- one attempt
 
@@ -157,8 +159,8 @@
         if cache is not None:
             attempt.begin_by = partial(plane.begin_by, request.model, cache.revision)
         began = clock()
-        self._loads_canary = plane.rollouts.loads_canary(self.service)
-        self._unread = pieces_to_read(self.prompt.at(server))
+        self._loads_canary = plane.rollouts.is_canary_loaded(self.service)
+        self._unread = chunks_to_prefill(self.prompt.at(server))
         fetches = cache is not None and cache.fetch_from is not None
         self.lateness.sent(began, self._unread, server.load, fetches)
         server.began(self._unread)
@@ -201,7 +203,7 @@
 
     def _has_read(self, server: Server) -> None:
         """The prompt is read, or the attempt is over."""
-        server.has_read(self._unread)
+        server.prefill_finished(self._unread)
         self._unread = 0
 
     def _note_failure(self, server: Server, failure: AttemptFailed) -> None:
@@ -283,7 +285,7 @@
     def _learn_revision(self, server: Server, head: http.Head) -> None:
         told = head.fields.get(b"versions", b"")
         if told.isdigit() and self.request.model is not None:
-            server.saw_revision(self.request.model, int(told))
+            server.record_revision(self.request.model, int(told))
 
     # ---- passing on
 
@@ -329,7 +331,7 @@
             data = b"".join(event.data for event in passed)
             for event in events:
                 if event.revision is not None and self.request.model is not None:
-                    server.saw_revision(self.request.model, event.revision)
+                    server.record_revision(self.request.model, event.revision)
             if not data:
                 continue
             if first and not self.answer.begun:
--- a/iristrack/dataplane/load_reports.py
+++ b/iristrack/dataplane/load_reports.py
@@ -13,7 +13,7 @@
     report_interval,
     subtract_loads,
 )
-from iristrack.placement.outcomes import NONE, Outcomes
+from iristrack.placement.outcomes import NO_OUTCOMES, Outcomes
 from iristrack.placement.report_stream import ReportStream
 from iristrack.placement.servers import Server
 from iristrack.wire.connection import PeerConnection
@@ -78,8 +78,8 @@
         if load is not None and own is not None:
             load = subtract_loads(load, own)
         server.others_inflight = 0 if load is None else load.requests
-        server.others_unread_pieces = 0 if load is None else load.pieces
-        server.others_outcomes = NONE if load is None else Outcomes(load.answered, load.failed)
+        server.others_pending_chunks = 0 if load is None else load.pieces
+        server.others_outcomes = NO_OUTCOMES if load is None else Outcomes(load.answered, load.failed)
 
     def _tick(self) -> None:
         now = self.plane.scheduler.now()
@@ -88,7 +88,7 @@
         own = {load.instance: load for load in self._own_loads(now)}
         if now - self._judged_at >= JUDGE_NS:
             self._judged_at = now
-            self.plane.servers.judge(now)
+            self.plane.servers.update_ejections(now)
         self._tell(own, now)
         self.plane.scheduler.call_at(now + self._interval, self._tick)
 
@@ -100,11 +100,11 @@
     def _own_loads(self, now: int) -> Iterator[ServerLoad]:
         for server in self.plane.servers.servers.values():
             outcomes = server.outcomes.total(now)
-            if server.inflight or outcomes != NONE:
+            if server.inflight or outcomes != NO_OUTCOMES:
                 yield ServerLoad(
                     server.instance_id,
                     server.inflight,
-                    max(0, server.unread_pieces),
+                    max(0, server.pending_chunks),
                     outcomes.answered,
                     outcomes.failed,
                 )
@@ -115,7 +115,7 @@
             return
         if hub is not self._told_hub:
             self._told_hub = hub
-            self._stream.begin_anew()
+            self._stream.force_full_report()
         report = self._stream.next(own, 1, now)
         if report is not None:
             self._own = own
--- a/iristrack/dataplane/program.py
+++ b/iristrack/dataplane/program.py
@@ -104,7 +104,7 @@
 
         Where no majority can be heard, the newest configuration that can be had counts after `UNCONFIRMED_NS`.
         """
-        if self.plane.draining or self.plane.active is None or not self.plane.servers.known:
+        if self.plane.draining or self.plane.active is None or not self.plane.servers.has_list:
             return False
         now = clock()
         if self._configured_at is None:
--- a/iristrack/dataplane/prompt_parts.py
+++ b/iristrack/dataplane/prompt_parts.py
@@ -7,11 +7,11 @@
 from iristrack.dataplane.requests import ClientRequest
 from iristrack.dataplane.state import PlaneState
 from iristrack.http1.messages import header_text
-from iristrack.placement.choice import Prompt
-from iristrack.placement.engines import cache_salt, store_of
+from iristrack.placement.choice import PrefillEstimate
+from iristrack.placement.engines import cache_salt, store_for_key
 from iristrack.placement.servers import Server
 from iristrack.prefix_index.parts import shared_parts, shared_tokens
-from iristrack.prefix_index.pending_prefills import Expected
+from iristrack.prefix_index.pending_prefills import ExpectedPrefix
 from iristrack.runtime.scheduler import clock
 
 LEAST_FETCH_TOKENS = 64  # fewer are read faster than they are moved
@@ -47,18 +47,18 @@
         self.request = request
         self.service = service
         self._covered: dict[str, dict[str, int]] = {}  # by salt, kept tokens by holder
-        self._expected: dict[str, Expected | None] = {}  # by salt
+        self._expected: dict[str, ExpectedPrefix | None] = {}  # by salt
 
     def look_again(self) -> None:
         """Another attempt begins: what is kept may have changed."""
         self._covered.clear()
         self._expected.clear()
 
-    def at(self, server: Server) -> Prompt:
+    def at(self, server: Server) -> PrefillEstimate:
         """What the server would have to do with the prompt."""
         request = self.request
         if not request.parts or request.model is None:
-            return Prompt(request.prompt_tokens, 0, 0)
+            return PrefillEstimate(request.prompt_tokens, 0, 0)
         salt = self._salt(server)
         kept = self._coverage(salt)
         reading = self._being_read(salt)
@@ -66,7 +66,9 @@
         if reading is not None and reading.holder == server.address:
             own = max(own, reading.tokens)
         elsewhere = max((tokens for holder, tokens in kept.items() if holder != server.address), default=0)
-        return Prompt(request.prompt_tokens, own, elsewhere, reading.tokens if reading is not None else 0)
+        return PrefillEstimate(
+            request.prompt_tokens, own, elsewhere, reading.tokens if reading is not None else 0
+        )
 
     def cache_use(self, server: Server) -> CacheUse | None:
         """What the request is told of kept prompts; None where it names no model."""
@@ -86,7 +88,7 @@
             source = None
         wanted = sum(part.tokens for part in shared)
         saved = any(kept[store] >= wanted for store in stores)
-        save_to = None if saved else store_of(request.key, stores)
+        save_to = None if saved else store_for_key(request.key, stores)
         return CacheUse(revision, salt, source, save_to)
 
     def _salt(self, server: Server) -> str:
@@ -106,10 +108,10 @@
             self._covered[salt] = known
         return known
 
-    def _being_read(self, salt: str) -> Expected | None:
+    def _being_read(self, salt: str) -> ExpectedPrefix | None:
         """What a server is reading of the prompt for an earlier request of this sidecar."""
         if salt not in self._expected:
-            reads = self.plane.first_reads
+            reads = self.plane.pending_prefills
             self._expected[salt] = reads.expected(salt, self.request.model, self.request.parts, clock())
         return self._expected[salt]
 
@@ -120,13 +122,13 @@
             return
         salt = self._salt(server)
         if max(self._coverage(salt).values(), default=0) < shared_tokens(request.parts):
-            self.plane.first_reads.begin(salt, request.model, request.parts, server.address, clock())
+            self.plane.pending_prefills.begin(salt, request.model, request.parts, server.address, clock())
 
     def end_read(self, server: Server, salt: str) -> None:
         """The parts are kept there from now on, or the attempt has failed."""
         request = self.request
         if request.model is not None and request.parts:
-            self.plane.first_reads.end(salt, request.model, request.parts, server.address)
+            self.plane.pending_prefills.end(salt, request.model, request.parts, server.address)
 
     def _stores(self) -> list[str]:
         return [store.address for store in self.plane.active.stores]
--- a/iristrack/dataplane/state.py
+++ b/iristrack/dataplane/state.py
@@ -21,7 +21,7 @@
 from iristrack.placement.rollouts import Rollouts
 from iristrack.placement.servers import ServerTable
 from iristrack.prefix_index.index import PrefixIndex
-from iristrack.prefix_index.pending_prefills import FirstReads
+from iristrack.prefix_index.pending_prefills import PendingPrefills
 from iristrack.runtime.scheduler import Scheduler
 from iristrack.settings import Settings
 
@@ -99,7 +99,7 @@
     active: ActiveConfiguration | None = None
     servers: ServerTable = field(default_factory=ServerTable)
     index: PrefixIndex = field(default_factory=lambda: PrefixIndex(MOST_INDEX_ENTRIES))
-    first_reads: FirstReads = field(default_factory=FirstReads)
+    pending_prefills: PendingPrefills = field(default_factory=PendingPrefills)
     named_weights: NamedWeights = field(default_factory=NamedWeights)
     rollouts: Rollouts = field(default_factory=Rollouts)
     budgets: dict[str, RetryBudget] = field(default_factory=dict)
@@ -118,7 +118,7 @@
 
     def _can_serve(self) -> bool:
         now = self.scheduler.now()
-        return self.active is not None and self.servers.known and self.key_lease.holds(now)
+        return self.active is not None and self.servers.has_list and self.key_lease.holds(now)
 
     def required_revision(self, model: str, now: int) -> int:
         """The oldest revision of a model's weights to which a request may still be sent; 0: any."""
@@ -135,7 +135,7 @@
         """So many data planes share the retry budgets."""
         self.sidecars = max(1, count)
         for budget in self.budgets.values():
-            budget.share(self.sidecars)
+            budget.set_sidecars(self.sidecars)
 
     def budget(self, service: str) -> RetryBudget:
         """The retry budget of a service."""
--- a/iristrack/duties/lease.py
+++ b/iristrack/duties/lease.py
@@ -1,8 +1,8 @@
 """Whether a duty is held by this process, held by another, or vacant, by the monotonic clock alone.
 
-A holder renews by raising `renewals` in the register, and acts for `ACT_NS` after it began its last renewal. Another
-process takes the duty for vacant once it has seen the same value for that long and the lease besides: the last act of
-one holder and the first of the next lie further apart than the lease, so that holders never take turns within it.
+A holder renews by raising `renewals` in the register, and acts for `RENEWAL_VALID_NS` after it began its last renewal.
+Another process takes the duty for vacant once it has seen the same value for that long and the lease besides: the last
+act of one holder and the first of the next lie further apart than the lease, so holders never take turns within it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from iristrack.wire.messages import DutyValue
 
 NS_PER_MS = 1_000_000
-ACT_NS = 800 * NS_PER_MS  # a renewal is good for so long
+RENEWAL_VALID_NS = 800 * NS_PER_MS  # a renewal is good for so long
 CLAIM_MARGIN_NS = 200 * NS_PER_MS  # for clocks that do not run alike
 RENEW_NS = 250 * NS_PER_MS  # between two renewals
 
@@ -43,7 +43,7 @@
         """The newest value of the duty that was seen."""
         return self._seen
 
-    def saw(self, value: DutyValue | None, now: int) -> None:
+    def observe(self, value: DutyValue | None, now: int) -> None:
         """The register's value was read, or told of; a value that changed proves that its holder lives."""
         if self._seen_at is None or value != self._seen:
             if value is not None and self._seen is not None and value.sequence < self._seen.sequence:
@@ -63,18 +63,18 @@
         """May this process give an order now?"""
         return self.holding is not None and now < self.holding.act_until
 
-    def wants_claim(self, now: int) -> bool:
+    def should_claim(self, now: int) -> bool:
         """Is it time to claim the duty, or to renew it?"""
         if self.holding is not None:
-            return now >= self.holding.act_until - ACT_NS + RENEW_NS
+            return now >= self.holding.act_until - RENEWAL_VALID_NS + RENEW_NS
         if self._seen_at is None:
             return False
         if self._seen is None or (self._seen.owner, self._seen.process) == (self.node, self.process):
             return True
-        return now >= self._seen_at + ACT_NS + self.lease_ns + CLAIM_MARGIN_NS
+        return now >= self._seen_at + RENEWAL_VALID_NS + self.lease_ns + CLAIM_MARGIN_NS
 
     def claimed(self, value: DutyValue, began: int, now: int) -> None:
         """A claim or renewal that began at `began` has been committed."""
         self._seen = value
         self._seen_at = now
-        self.holding = Holding(value.fence, began + ACT_NS)
+        self.holding = Holding(value.fence, began + RENEWAL_VALID_NS)
--- a/iristrack/engines/canary_analysis.py
+++ b/iristrack/engines/canary_analysis.py
@@ -96,15 +96,15 @@
     return answers.failed if kind is FAILED else answers.slow
 
 
-Row = tuple[str, str]  # route and server
+RouteServer = tuple[str, str]  # route and server
 
 
-class VersionTest:
+class CanaryAnalysis:
     """All tests of one version under roll-out."""
 
     def __init__(self) -> None:
         """No answer was seen."""
-        self._seen: dict[Row, Answers] = {}
+        self._seen: dict[RouteServer, Answers] = {}
         self._tests: dict[tuple[str, str], Cusum] = {}
 
     @property
@@ -112,7 +112,7 @@
         """All answers of the new version so far."""
         return _sum(self._seen.values())
 
-    def look(self, new: Mapping[Row, Answers], old: Mapping[str, Answers]) -> Verdict | None:
+    def update(self, new: Mapping[RouteServer, Answers], old: Mapping[str, Answers]) -> Verdict | None:
         """Take all answers so far, of the new version by route and server, of the old one by route.
 
         Counts only rise. Returns why the version is bad, None while that is not shown.
--- a/iristrack/engines/named_weights.py
+++ b/iristrack/engines/named_weights.py
@@ -13,7 +13,7 @@
 from iristrack.wire.messages import NamedAge
 
 NS_PER_MS = 1_000_000
-MOST_MODELS = 256
+MAX_MODELS = 256
 LOOK_AGAIN_NS = 1000 * NS_PER_MS  # the least time in which no newer revision can end the allowance
 EARLIER_NS = 250 * NS_PER_MS  # by so much two processes may differ that were told over a slow link
 MOST_REVISIONS = 8  # of one model; of more, the two lowest are taken as one, named when the first of them was
@@ -34,10 +34,10 @@
         """Nothing was named."""
         self._named: dict[str, tuple[NamedRevision, ...]] = {}  # revisions and moments both rise
 
-    def heard(self, model: str, revision: int, named_at: int) -> bool:
+    def learn(self, model: str, revision: int, named_at: int) -> bool:
         """Learn that a revision was named by then; whether it is the newest of its model."""
         known = self._named.get(model, ())
-        if not known and len(self._named) >= MOST_MODELS:
+        if not known and len(self._named) >= MAX_MODELS:
             return False
         lower = [NamedRevision(n.revision, min(n.named_at, named_at)) for n in known if n.revision < revision]
         higher = [n for n in known if n.revision > revision]
@@ -46,10 +46,10 @@
         self._named[model] = _bounded([*lower, own, *higher])
         return not higher and not earlier
 
-    def heard_ages(self, ages: Iterable[NamedAge], now: int) -> None:
+    def learn_ages(self, ages: Iterable[NamedAge], now: int) -> None:
         """Learn what a core member has told just now."""
         for age in ages:
-            self.heard(age.model, age.revision, now - age.age_ms * NS_PER_MS)
+            self.learn(age.model, age.revision, now - age.age_ms * NS_PER_MS)
 
     def knows_earlier(self, ages: Iterable[NamedAge], now: int) -> bool:
         """Does this process know of a revision that was named earlier than was told just now, or was not told?"""
--- a/iristrack/engines/rolling_upgrade.py
+++ b/iristrack/engines/rolling_upgrade.py
@@ -39,7 +39,7 @@
     return upgrades
 
 
-class Roll:
+class RollingUpgrade:
     """One model server after the other is prepared, ordered and done."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
         self._rests_until: dict[str, int] = {}  # instances whose upgrade was given up (ns)
 
     @property
-    def under_way(self) -> bool:
+    def in_progress(self) -> bool:
         """Is any server prepared or ordered?"""
         return bool(self.preparing or self.ordered)
 
@@ -78,7 +78,7 @@
         """The upgrade is done, or was given up."""
         self.ordered.pop(instance_id, None)
 
-    def given_up(self, instance_id: str, now: int) -> None:
+    def postpone(self, instance_id: str, now: int) -> None:
         """It does not take the order now: the others come first, then it is tried again."""
         self.ended(instance_id)
         self._rests_until[instance_id] = now + REST_NS
--- a/iristrack/engines/rollouts.py
+++ b/iristrack/engines/rollouts.py
@@ -19,13 +19,13 @@
 from iristrack.wire.messages import RolloutState
 
 RUNNING, FINISHED, REVERTED = "running", "finished", "reverted"
-WHOLE = 1000  # of the share, in thousandths
+FULL_SHARE = 1000  # of the share, in thousandths
 LEAST_CANARY_SHARE = 40
 MOST_CANARY_SHARE = 120
 CANARY_ENDS = 0.55  # of the time
 CANARY_BUDGET = 0.3  # of what a bad version may get, for the canary; the steps need the rest
 RATE_KNOWN_NS = 2_000_000_000  # since the order; before, too few answers tell the rate of requests
-STEPS = ((0.55, 100), (0.60, 200), (0.65, 450), (0.70, WHOLE))  # of the time, and the share from then on
+STEPS = ((0.55, 100), (0.60, 200), (0.65, 450), (0.70, FULL_SHARE))  # of the time, and the share from then on
 FEWEST_ANSWERS = 20  # of the new version, before its share rises, while there is time to wait for them
 LATEST_WAIT = 0.62  # of the time, until which these are waited for
 NS_PER_MS = 1_000_000
@@ -37,37 +37,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Situation:
+class RolloutObservation:
     """What the holder of the duty sees of one roll-out."""
 
     elapsed_ns: int  # since the order
-    whole_ns: int  # since the new version was given everything; 0: it was not
+    full_share_ns: int  # since the new version was given everything; 0: it was not
     new_ready: int  # servers of the new version that are ready
     old_ready: int
     answers: int  # of the new version so far
-    under_way_old: int  # requests at servers of the old version
+    old_inflight: int  # requests at servers of the old version
     is_bad: bool
     all_answers: int = 0  # of both versions since the order
-    most_share: float = 0.1  # of all requests until the deadline, that a bad version may get
-    most_slack: float = 50  # requests beside it
+    max_bad_share: float = 0.1  # of all requests until the deadline, that a bad version may get
+    bad_request_slack: float = 50  # requests beside it
 
 
-def next_state(state: RolloutState, situation: Situation) -> RolloutState:
+def next_state(state: RolloutState, situation: RolloutObservation) -> RolloutState:
     """The state that follows; the same one where nothing is to be changed."""
     if state.phase != RUNNING:
         return state
     if situation.is_bad:
         return replace(state, phase=REVERTED, share=0)
-    if state.share >= WHOLE:
+    if state.share >= FULL_SHARE:
         return replace(state, phase=FINISHED) if _may_finish(state, situation) else state
     return replace(state, share=max(state.share, _share(state, situation)))
 
 
-def _share(state: RolloutState, situation: Situation) -> int:
+def _share(state: RolloutState, situation: RolloutObservation) -> int:
     if situation.new_ready == 0:
         return 0
     if situation.old_ready == 0:
-        return WHOLE
+        return FULL_SHARE
     time = situation.elapsed_ns / (state.over_ms * NS_PER_MS)
     if time < CANARY_ENDS or (situation.answers < FEWEST_ANSWERS and time < LATEST_WAIT):
         return _canary_share(state, situation)
@@ -75,28 +75,30 @@
     return min(steps, default=LEAST_CANARY_SHARE)  # one step at a time, whatever was missed
 
 
-def _canary_share(state: RolloutState, situation: Situation) -> int:
+def _canary_share(state: RolloutState, situation: RolloutObservation) -> int:
     """As much as the budget bears: the more answers there are, the sooner a bad version is found."""
     if situation.elapsed_ns < RATE_KNOWN_NS or not situation.all_answers:
         return LEAST_CANARY_SHARE
     requests = situation.all_answers * state.over_ms * NS_PER_MS / situation.elapsed_ns
-    budget = CANARY_BUDGET * (situation.most_share * requests + situation.most_slack)
-    return min(MOST_CANARY_SHARE, max(LEAST_CANARY_SHARE, int(WHOLE * budget / (requests * CANARY_ENDS))))
+    budget = CANARY_BUDGET * (situation.max_bad_share * requests + situation.bad_request_slack)
+    return min(
+        MOST_CANARY_SHARE, max(LEAST_CANARY_SHARE, int(FULL_SHARE * budget / (requests * CANARY_ENDS)))
+    )
 
 
-def _may_finish(state: RolloutState, situation: Situation) -> bool:
-    if situation.whole_ns < LEAST_WHOLE_NS:
+def _may_finish(state: RolloutState, situation: RolloutObservation) -> bool:
+    if situation.full_share_ns < LEAST_WHOLE_NS:
         return False
     is_late = situation.elapsed_ns >= LATEST_FINISH * state.over_ms * NS_PER_MS
-    return situation.new_ready > 0 and (situation.under_way_old == 0 or is_late)
+    return situation.new_ready > 0 and (situation.old_inflight == 0 or is_late)
 
 
 def busy_servers(servers: int, state: RolloutState) -> int:
     """To how many of so many servers the share of the traffic is sent."""
-    if state.share >= WHOLE:
+    if state.share >= FULL_SHARE:
         return servers
     concentration = LOADED_CONCENTRATION if is_loaded(state) else CONCENTRATION
-    return min(servers, max(1, round(servers * state.share / WHOLE * concentration)))
+    return min(servers, max(1, round(servers * state.share / FULL_SHARE * concentration)))
 
 
 def canary_turn(state: RolloutState) -> int:
--- a/iristrack/placement/engines.py
+++ b/iristrack/placement/engines.py
@@ -19,12 +19,12 @@
     return f"{len(model)}:{model}.{revision}{wall}"
 
 
-def serving(servers: Iterable[Server], model: str, least_revision: int) -> list[Server]:
+def servers_with_model(servers: Iterable[Server], model: str, min_revision: int) -> list[Server]:
     """The servers that hold the model with weights of that revision or a newer one."""
-    return [server for server in servers if server.revisions.get(model, 0) >= max(1, least_revision)]
+    return [server for server in servers if server.revisions.get(model, 0) >= max(1, min_revision)]
 
 
-def store_of(key: str, stores: Sequence[str]) -> str | None:
+def store_for_key(key: str, stores: Sequence[str]) -> str | None:
     """The store that keeps what a key names, by rank of hash, so that several stores share the keys."""
     if not stores:
         return None
--- a/iristrack/placement/loads.py
+++ b/iristrack/placement/loads.py
@@ -87,7 +87,7 @@
     loads: dict[str, ServerLoad] = field(default_factory=dict)
 
 
-class LoadBoard:
+class LoadAggregator:
     """The newest loads of each sender, and their sum."""
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
         self.total: dict[str, ServerLoad] = {}  # by instance; servers with nothing are not named
         self._senders: dict[str, _Sender] = {}
 
-    def take(self, loads: ServerLoads, now: int) -> bool:
+    def apply_report(self, loads: ServerLoads, now: int) -> bool:
         """Take a sender's report; false where it is no newer, or names changes to what is not known here."""
         known = self._senders.get(loads.node)
         current = known is not None and now - known.heard_at < EXPIRY_NS
--- a/iristrack/placement/outcomes.py
+++ b/iristrack/placement/outcomes.py
@@ -35,7 +35,7 @@
         return self.failed >= FEWEST_FAILED and self.failed >= LEAST_SHARE * (self.answered + self.failed)
 
 
-NONE = Outcomes()
+NO_OUTCOMES = Outcomes()
 
 
 class OutcomeWindow:
@@ -60,7 +60,7 @@
     def total(self, now: int) -> Outcomes:
         """What has ended in the window."""
         if now // BUCKET_NS - self._newest >= BUCKETS:
-            return NONE
+            return NO_OUTCOMES
         self._advance(now)
         return Outcomes(sum(self._answered), sum(self._failed))
 
@@ -73,7 +73,7 @@
         return self._newest % BUCKETS
 
 
-def left_out(outcomes: Iterable[tuple[str, Outcomes]]) -> frozenset[str]:
+def ejected_servers(outcomes: Iterable[tuple[str, Outcomes]]) -> frozenset[str]:
     """The servers to leave out, by name: the worst of those that are suspect, within the bound."""
     everyone = list(outcomes)
     suspects = [(o.failed / (o.answered + o.failed), name) for name, o in everyone if o.suspect]
--- a/iristrack/placement/report_stream.py
+++ b/iristrack/placement/report_stream.py
@@ -17,7 +17,7 @@
         self._told_at = 0
         self._whole_at: int | None = None
 
-    def begin_anew(self) -> None:
+    def force_full_report(self) -> None:
         """A receiver that knows nothing has come: the next report is whole."""
         self._whole_at = None
 
--- a/iristrack/placement/rollouts.py
+++ b/iristrack/placement/rollouts.py
@@ -15,9 +15,9 @@
 from iristrack.engines.canary_analysis import NO_ANSWERS, Answers
 from iristrack.engines.rollouts import (
     FINISHED,
+    FULL_SHARE,
     REVERTED,
     RUNNING,
-    WHOLE,
     busy_servers,
     canary_turn,
     is_loaded,
@@ -80,7 +80,7 @@
         self._usual: dict[str, UsualTimes] = {}  # by route
         self.counted = 0  # answers, ever
 
-    def follow(self, states: Iterable[RolloutState]) -> None:
+    def apply_states(self, states: Iterable[RolloutState]) -> None:
         """Go by the newest states; counts of roll-outs that are over are dropped."""
         self._states = {state.service: state for state in states}
         running = {state.number for state in self._states.values() if state.phase == RUNNING}
@@ -88,7 +88,7 @@
         if not running:
             self._usual.clear()
 
-    def confirmed(self, now: int) -> None:
+    def renew_lease(self, now: int) -> None:
         """The core, in a quorum, has told how new its states are."""
         self._confirmed_at = now
 
@@ -99,7 +99,7 @@
 
     # ---- which servers
 
-    def allowed(
+    def allowed_servers(
         self, service: str, servers: Sequence[Server], again: bool, now: int, rng: random.Random
     ) -> Sequence[Server]:
         """The servers of the version that this request goes to; `again`: it was sent to another server before."""
@@ -113,14 +113,14 @@
         if state.phase == REVERTED or not new:
             return old
         if not self._goes_to_new(state, again, now, rng):
-            return old or (new if state.share >= WHOLE else old)
-        if state.share >= WHOLE:
+            return old or (new if state.share >= FULL_SHARE else old)
+        if state.share >= FULL_SHARE:
             return new
         turn = hash64(str(canary_turn(state)))
         ranked = sorted(new, key=lambda server: mix64(server.hash ^ turn))
         return ranked[: busy_servers(len(new), state)]
 
-    def loads_canary(self, service: str) -> bool:
+    def is_canary_loaded(self, service: str) -> bool:
         """Is a request of this service that is sent now no measure of how slow the new version is?"""
         state = self._states.get(service)
         return state is not None and is_loaded(state)
@@ -128,14 +128,14 @@
     def _goes_to_new(self, state: RolloutState, again: bool, now: int, rng: random.Random) -> bool:
         if self._confirmed_at is None or now - self._confirmed_at > LEASE_NS:
             return False
-        if state.share >= WHOLE:
+        if state.share >= FULL_SHARE:
             return True
-        return not again and rng.random() * WHOLE < state.share
+        return not again and rng.random() * FULL_SHARE < state.share
 
     # ---- how requests ended
 
     def answered(self, server: Server, route: str, times: AnswerTimes, was_loaded: bool = False) -> None:
-        """A whole answer came; `was_loaded`: it was sent while `loads_canary`, so that its times say nothing."""
+        """A whole answer came; `was_loaded`: it was sent while `is_canary_loaded`, so that its times say nothing."""
         state = self._states.get(server.listed.service)
         if state is None or state.phase != RUNNING:
             return
--- a/iristrack/placement/servers.py
+++ b/iristrack/placement/servers.py
@@ -5,8 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from iristrack.placement.outcomes import NONE as NO_OUTCOMES
-from iristrack.placement.outcomes import Outcomes, OutcomeWindow, left_out
+from iristrack.placement.outcomes import NO_OUTCOMES, Outcomes, OutcomeWindow, ejected_servers
 from iristrack.placement.ranking import hash64
 
 NS_PER_MS = 1_000_000
@@ -38,12 +37,12 @@
     hash: int
     revisions: dict[str, int]  # of each model, the newest that was seen
     inflight: int = 0  # this sidecar's own requests there
-    unread_pieces: int = 0  # of their prompts, that it still has to read
+    pending_chunks: int = 0  # of their prompts, that it still has to read
     others_inflight: int = 0  # and what the other sidecars told of theirs
-    others_unread_pieces: int = 0
+    others_pending_chunks: int = 0
     outcomes: OutcomeWindow = field(default_factory=OutcomeWindow)
     others_outcomes: Outcomes = NO_OUTCOMES
-    left_out: bool = False  # too many of its requests fail
+    ejected: bool = False  # too many of its requests fail
     busy: bool = False  # it takes new weights, and is avoided until it has them
     preparing: bool = False  # it takes new weights next: long answers are better begun elsewhere
     busy_until: int = 0  # ns; the mark lapses where nobody tells any more
@@ -68,16 +67,16 @@
     @property
     def load(self) -> int:
         """Requests in flight, each with the pieces of its prompt that are still to be read."""
-        return self.inflight + self.unread_pieces + self.others_inflight + self.others_unread_pieces
+        return self.inflight + self.pending_chunks + self.others_inflight + self.others_pending_chunks
 
     def began(self, pieces: int) -> None:
         """A request was sent to it, of whose prompt it has so many pieces to read."""
         self.inflight += 1
-        self.unread_pieces += pieces
+        self.pending_chunks += pieces
 
-    def has_read(self, pieces: int) -> None:
+    def prefill_finished(self, pieces: int) -> None:
         """The first token has come: these pieces are read."""
-        self.unread_pieces -= pieces
+        self.pending_chunks -= pieces
 
     def ended(self) -> None:
         """A request ended, in whatever way."""
@@ -102,7 +101,7 @@
             return
         self.avoid_until = max(self.avoid_until, now + REJECTED_BACKOFF_NS)
 
-    def saw_revision(self, model: str, revision: int) -> None:
+    def record_revision(self, model: str, revision: int) -> None:
         """An answer, a report or the list told the revision of a model's weights; they never go back."""
         if revision > self.revisions.get(model, 0):
             self.revisions[model] = revision
@@ -122,11 +121,11 @@
         """Nothing is known."""
         self.servers: dict[str, Server] = {}
         self.by_service: dict[str, list[Server]] = {}
-        self.known = False  # has a list been taken?
+        self.has_list = False  # has a list been taken?
 
-    def take_list(self, entries: Iterable[ListedServer]) -> list[Server]:
+    def apply_server_list(self, entries: Iterable[ListedServer]) -> list[Server]:
         """Follow a whole list; the servers that it names no more."""
-        self.known = True
+        self.has_list = True
         named = {}
         for entry in entries:
             named[entry.instance_id] = self._follow(entry)
@@ -145,16 +144,16 @@
             server = Server(entry, hash64(entry.instance_id), dict(entry.models))
         server.listed = entry
         for model, revision in entry.models:
-            server.saw_revision(model, revision)
+            server.record_revision(model, revision)
         return server
 
-    def judge(self, now: int) -> None:
+    def update_ejections(self, now: int) -> None:
         """Leave out servers at which too many requests of all sidecars fail; to be called some times a second."""
         for servers in self.by_service.values():
             total = [(s.instance_id, s.outcomes.total(now).plus(s.others_outcomes)) for s in servers]
-            out = left_out(total)
+            out = ejected_servers(total)
             for server in servers:
-                server.left_out = server.instance_id in out
+                server.ejected = server.instance_id in out
 
     def of_service(self, service: str) -> list[Server]:
         """The listed servers of a service."""
--- a/iristrack/prefix_index/catalog.py
+++ b/iristrack/prefix_index/catalog.py
@@ -80,7 +80,7 @@
     return [KeptParts(holder, True, "", ""), *_grouped(holder, rows)]
 
 
-def coalesced(changes: Iterable[KeptParts]) -> list[KeptParts]:
+def coalesce_changes(changes: Iterable[KeptParts]) -> list[KeptParts]:
     """The same changes in fewer rows: one for each holder, salt and model, with the newest word on each part."""
     holders: dict[str, _Pending] = {}
     for change in changes:
--- a/iristrack/prefix_index/digest.py
+++ b/iristrack/prefix_index/digest.py
@@ -13,7 +13,7 @@
 from itertools import islice
 from typing import TypeAlias
 
-from iristrack.prefix_index.kv_events import START, Cursor, EventsAnswer, KeptPart, ListAnswer, advance
+from iristrack.prefix_index.kv_events import START_CURSOR, Cursor, EventsAnswer, KeptPart, ListAnswer, advance
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
         self.origin = origin
         self.most_changes = most_changes
         self.most_parts = most_parts
-        self.cursor = START
+        self.cursor = START_CURSOR
         self.uncertain = False
         self._sequence = 0
         self._changes: deque[Change] = deque(maxlen=most_changes)
--- a/iristrack/prefix_index/index.py
+++ b/iristrack/prefix_index/index.py
@@ -15,7 +15,7 @@
 
 from iristrack.prefix_index.digest import Digest, Position, Snapshot
 from iristrack.prefix_index.kv_events import (
-    START,
+    START_CURSOR,
     Cursor,
     EventsAnswer,
     KeptPart,
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.spaces: dict[SpaceKey, Space] = {}
-        self.cursor: Cursor = START
+        self.cursor: Cursor = START_CURSOR
         self.position: Position | None = None  # in a watcher's log
         self.uncertain_since: int | None = None  # when events were last found lost; nanoseconds
 
@@ -101,7 +101,7 @@
     def cursor(self, holder: str) -> Cursor:
         """With which to ask the holder for its next events."""
         known = self._holders.get(holder)
-        return START if known is None else known.cursor
+        return START_CURSOR if known is None else known.cursor
 
     def position(self, holder: str) -> Position | None:
         """Up to where a watcher's log of the holder is known; None (also after its own answers): ask for a snapshot."""
--- a/iristrack/prefix_index/kv_events.py
+++ b/iristrack/prefix_index/kv_events.py
@@ -31,7 +31,7 @@
     since: int
 
 
-START = Cursor(None, 0)
+START_CURSOR = Cursor(None, 0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/iristrack/prefix_index/pending_prefills.py
+++ b/iristrack/prefix_index/pending_prefills.py
@@ -29,14 +29,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
+class ExpectedPrefix:
     """The holder that will keep so many tokens of a prompt."""
 
     holder: str
     tokens: int
 
 
-class FirstReads:
+class PendingPrefills:
     """At most `most_reads` beginnings of prompts that are being read; when full, the oldest are given up."""
 
     __slots__ = ("_reads", "given_up", "most_reads")
@@ -69,13 +69,13 @@
                 return reader
         return None
 
-    def expected(self, salt: str, model: str, parts: Sequence[Part], now: int) -> Expected | None:
+    def expected(self, salt: str, model: str, parts: Sequence[Part], now: int) -> ExpectedPrefix | None:
         """Who will keep how much of the prompt's shared beginning, by what is being read."""
         self._expire(now)
         for prefix in _shared_prefixes(salt, model, parts):
             reader = self._reads.get(prefix)
             if reader is not None:
-                return Expected(reader.holder, sum(part.tokens for part in parts[: len(prefix[2])]))
+                return ExpectedPrefix(reader.holder, sum(part.tokens for part in parts[: len(prefix[2])]))
         return None
 
     def end(self, salt: str, model: str, parts: Sequence[Part], holder: str) -> None:
--- a/iristrack/relay/catch_up.py
+++ b/iristrack/relay/catch_up.py
@@ -54,7 +54,9 @@
         """Nothing is."""
         self._missing: dict[str, Missing] = {}
 
-    def heard(self, source: Source, here: Iterable[Version], told: Iterable[Version], now: int) -> None:
+    def record_versions(
+        self, source: Source, here: Iterable[Version], told: Iterable[Version], now: int
+    ) -> None:
         """A member told how new its topics are, of all or of some."""
         known = self._drop_known(here)
         for version in told:
@@ -69,7 +71,7 @@
             if len(missing.asked) < MOST_SOURCES:
                 missing.asked.setdefault(source, None)
 
-    def lost(self, source: Source) -> None:
+    def source_lost(self, source: Source) -> None:
         """The connection to a member has ended: it is asked no more."""
         for missing in self._missing.values():
             missing.asked.pop(source, None)
--- a/iristrack/relay/topics.py
+++ b/iristrack/relay/topics.py
@@ -47,7 +47,7 @@
         known = self._updates.get(topic)
         return max(0 if known is None else known.sequence, self._seen.get(topic, 0)) + 1
 
-    def saw(self, versions: Iterable[Version]) -> None:
+    def observe(self, versions: Iterable[Version]) -> None:
         """Others know these: a process that began anew must not count below what they remember."""
         for version in versions:
             if version.topic in self._seen or len(self._seen) < MOST_TOPICS:
--- a/iristrack/simulation/placement.py
+++ b/iristrack/simulation/placement.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field, replace
 
 from iristrack.placement import choice
-from iristrack.placement.choice import Prompt
+from iristrack.placement.choice import PrefillEstimate
 from iristrack.placement.ranking import hash64
 from iristrack.placement.servers import ListedServer, Server
 from iristrack.prefix_index.parts import Part, shared_parts
@@ -85,31 +85,33 @@
 
 
 KeyOf = Callable[[tuple[Part, ...]], str | None]
-Choose = Callable[[Collection[Server], str | None, Callable[[Server], Prompt], random.Random], Server | None]
+Choose = Callable[
+    [Collection[Server], str | None, Callable[[Server], PrefillEstimate], random.Random], Server | None
+]
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
     """A way to place a prompt."""
 
-    choose: Choose = choice.choose
+    choose: Choose = choice.choose_server
     key_of: KeyOf = lambda parts: parts[-2].id if len(parts) > 1 else None
     fetches: bool = True
 
 
 def choose_own_only(servers, key, prompt_at, rng) -> Server:
     """Two candidates by the key's hash; the one with fewer of this sidecar's own requests."""
-    return _fewest_own(choice.ranked(servers, key, rng, 2), rng)
+    return _fewest_own(choice.rank_servers(servers, key, rng, 2), rng)
 
 
 def choose_of_three(servers, key, prompt_at, rng) -> Server:
     """Three candidates by the key's hash, by cost."""
-    return _cheapest(choice.ranked(servers, key, rng, 3), prompt_at, rng)
+    return _cheapest(choice.rank_servers(servers, key, rng, 3), prompt_at, rng)
 
 
 def choose_of_two(servers, key, prompt_at, rng) -> Server:
     """Two candidates by the key's hash, by cost: the product without spilling and without its lead for first reads."""
-    return _cheapest(choice.ranked(servers, key, rng, 2), prompt_at, rng)
+    return _cheapest(choice.rank_servers(servers, key, rng, 2), prompt_at, rng)
 
 
 def choose_cheapest(servers, key, prompt_at, rng) -> Server:
@@ -123,8 +125,8 @@
 def choose_longest_prefix(servers, key, prompt_at, rng) -> Server:
     """The first of the key's ranking under the load bound, those that keep most of the prompt before all others."""
     bound = BOUND_FACTOR * (1 + sum(server.load for server in servers) / len(servers))
-    ranking = choice.ranked(servers, key, rng, len(servers))
-    ranking.sort(key=lambda server: -prompt_at(server).kept)
+    ranking = choice.rank_servers(servers, key, rng, len(servers))
+    ranking.sort(key=lambda server: -prompt_at(server).kept_tokens)
     return next((server for server in ranking if server.load <= bound), ranking[0])
 
 
@@ -228,10 +230,10 @@
         known = self._known_tokens(request.parts)
         tokens = sum(part.tokens for part in request.parts)
 
-        def prompt_at(server: Server) -> Prompt:
+        def prompt_at(server: Server) -> PrefillEstimate:
             number = int(server.instance_id[2:])
             elsewhere = max((t for holder, t in known.items() if holder != number), default=0)
-            return Prompt(tokens, known.get(number, 0), elsewhere if self.policy.fetches else 0)
+            return PrefillEstimate(tokens, known.get(number, 0), elsewhere if self.policy.fetches else 0)
 
         server = self.policy.choose(sidecar.servers, self.policy.key_of(request.parts), prompt_at, self._rng)
         if server is not None:  # else it is refused, and counts as unfinished
@@ -242,7 +244,7 @@
             return
         for number, server in enumerate(sidecar.servers):
             server.others_inflight = self._seen_requests[number] - sidecar.seen_requests[number]
-            server.others_unread_pieces = self._seen_pieces[number] - sidecar.seen_pieces[number]
+            server.others_pending_chunks = self._seen_pieces[number] - sidecar.seen_pieces[number]
 
     def _known_tokens(self, parts: tuple[Part, ...]) -> dict[int, int]:
         """How much of the prompt each server is known to keep."""
@@ -255,14 +257,14 @@
                 known[holder] = tokens
         return known
 
-    def _send(self, request: Request, sidecar: Sidecar, server: Server, prompt: Prompt) -> None:
+    def _send(self, request: Request, sidecar: Sidecar, server: Server, prompt: PrefillEstimate) -> None:
         number = int(server.instance_id[2:])
-        pieces = choice.pieces_to_read(prompt)
+        pieces = choice.chunks_to_prefill(prompt)
         server.began(pieces)
         self._tell_later(sidecar, number, 1, pieces)
 
         def first_token() -> None:
-            server.has_read(pieces)
+            server.prefill_finished(pieces)
             self._tell_later(sidecar, number, 0, -pieces)
             wait = self.queue.now - request.arrives_ns
             self.outcome.waits[request.kind.name].append(wait)
@@ -273,8 +275,14 @@
             self._tell_later(sidecar, number, -1, 0)
 
         self._count_read_again(request, number, prompt)
-        job = Job(request.parts, request.kind.output_tokens, first_token, end, prompt.kept + prompt.moved)
-        delay = int(prompt.moved / self.setting.engine.moved_tokens_per_ms * MILLISECOND)
+        job = Job(
+            request.parts,
+            request.kind.output_tokens,
+            first_token,
+            end,
+            prompt.kept_tokens + prompt.fetch_tokens,
+        )
+        delay = int(prompt.fetch_tokens / self.setting.engine.moved_tokens_per_ms * MILLISECOND)
         self.queue.add(self.queue.now + delay, lambda: self._engines[number].submit(job))
 
     def _tell_later(self, sidecar: Sidecar, number: int, requests: int, pieces: int) -> None:
@@ -287,9 +295,11 @@
         if self.setting.loads_age_ns >= 0:
             self.queue.add(self.queue.now + self.setting.loads_age_ns, told)
 
-    def _count_read_again(self, request: Request, number: int, prompt: Prompt) -> None:
+    def _count_read_again(self, request: Request, number: int, prompt: PrefillEstimate) -> None:
         """Shared tokens that are read there although some server has begun to read them before."""
-        have = max(prompt.kept, prompt.elsewhere, self._engines[number].kept_tokens(request.parts))
+        have = max(
+            prompt.kept_tokens, prompt.kept_elsewhere, self._engines[number].kept_tokens(request.parts)
+        )
         shared = shared_parts(request.parts)
         tokens = 0
         for length, part in enumerate(shared, 1):
--- a/tests/controlplane/test_changes.py
+++ b/tests/controlplane/test_changes.py
@@ -24,7 +24,7 @@
     told_configuration,
     unchanged,
 )
-from iristrack.engines.named_weights import MOST_MODELS
+from iristrack.engines.named_weights import MAX_MODELS
 from iristrack.register import Refuse, Unchanged
 from iristrack.wire.messages import ConfigurationValue, DutyValue, ModelRevision, TakenRevision, VersionsValue
 from iristrack.wire.values import decode_value
@@ -284,10 +284,10 @@
 
 def test_a_model_too_many_is_refused_and_those_that_are_named_go_on() -> None:
     value = b""
-    for number in range(MOST_MODELS):
+    for number in range(MAX_MODELS):
         value = name_version(f"m{number}", 1)(value)
     assert name_version("one more", 1)(value) == Refuse(TOO_MANY_MODELS)
-    assert decode_value(name_version("m0", 2)(value), VersionsValue).sequence == MOST_MODELS + 1
+    assert decode_value(name_version("m0", 2)(value), VersionsValue).sequence == MAX_MODELS + 1
 
 
 # ---- duties
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -321,7 +321,7 @@
 
 
 def test_a_model_too_many_gets_one_clear_answer(monkeypatch) -> None:
-    monkeypatch.setattr("iristrack.controlplane.changes.MOST_MODELS", 2)
+    monkeypatch.setattr("iristrack.controlplane.changes.MAX_MODELS", 2)
     core = Core()
     calls = [{"model_name": model, "revision": 2} for model in ("m", "n", "o", "m")]
     assert [core.status(version_call(call)) for call in calls] == [200, 200, 400, 200]
--- a/tests/controlplane/test_weights_duty.py
+++ b/tests/controlplane/test_weights_duty.py
@@ -7,7 +7,7 @@
 import pytest
 
 from iristrack.controlplane.weights import WeightsDuty
-from iristrack.duties.lease import ACT_NS
+from iristrack.duties.lease import RENEWAL_VALID_NS
 from iristrack.engines.reports import Report
 from iristrack.engines.rolling_upgrade import Upgrade
 from iristrack.simulation.virtual_time import VirtualScheduler, World
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def duty(world: World) -> WeightsDuty:
-    """The holder of the duty, whose lease holds for `ACT_NS` from now."""
+    """The holder of the duty, whose lease holds for `RENEWAL_VALID_NS` from now."""
     bounds = SimpleNamespace(lease_ms=3_000)
     settings = SimpleNamespace(node_name="core-1", rule_bounds=bounds)
     scheduler = VirtualScheduler(world)
@@ -54,12 +54,12 @@
 
 
 def test_an_order_is_written_while_the_lease_holds(world: World, duty: WeightsDuty) -> None:
-    caller = LateCaller(world, ACT_NS - 1)
+    caller = LateCaller(world, RENEWAL_VALID_NS - 1)
     assert duty.orders.order(caller, UPGRADE, REPORT)
     assert caller.written == 1
 
 
-@pytest.mark.parametrize("late_ns", [ACT_NS, 5 * ACT_NS])
+@pytest.mark.parametrize("late_ns", [RENEWAL_VALID_NS, 5 * RENEWAL_VALID_NS])
 def test_an_order_whose_connection_came_after_the_lease_is_not_written(
     world: World, duty: WeightsDuty, late_ns: int
 ) -> None:
--- a/tests/dataplane/stand.py
+++ b/tests/dataplane/stand.py
@@ -333,7 +333,7 @@
     stand = Stand(scheduler, plane, listener, failures)
     stand.configure(document())
     budget = plane.budget("pool")
-    budget.tokens = budget.most  # as of a process that has been running for a while
+    budget.tokens = budget.capacity  # as of a process that has been running for a while
     return stand
 
 
--- a/tests/dataplane/test_control_link.py
+++ b/tests/dataplane/test_control_link.py
@@ -183,7 +183,7 @@
     server.began(3)
     stand.turn_until(lambda: hub.sent)
     assert hub.take() == [ServerLoads("n", 1, (ServerLoad("i-0", 1, 3),))]
-    server.has_read(3)
+    server.prefill_finished(3)
     server.ended()
     stand.turn_until(lambda: hub.sent)
     assert hub.take() == [ServerLoads("n", 2, (ServerLoad("i-0", 0, 0),), partial=True)]
@@ -195,7 +195,7 @@
     server = stand.known("i-0")
     hub = meet(linked, "zone")
     linked.link._on_message(hub, ServerLoads("core", 1, (ServerLoad("i-0", 4, 7),)))
-    assert (server.others_inflight, server.others_unread_pieces) == (4, 7)
+    assert (server.others_inflight, server.others_pending_chunks) == (4, 7)
     linked.link._on_message(hub, ServerLoads("core", 2, ()))
     assert server.load == 0
     linked.link._on_message(hub, ServerLoads("core", 3, (ServerLoad("i-0", 4, 7),)))
@@ -213,7 +213,7 @@
     stand.turn_until(lambda: hub.sent)
     total = (ServerLoad("i-0", 5, 7, answered=2, failed=1), ServerLoad("i-1", 1, 1))
     linked.link._on_message(hub, ServerLoads("core", 1, total))
-    assert (first.others_inflight, first.others_unread_pieces) == (4, 4)
+    assert (first.others_inflight, first.others_pending_chunks) == (4, 4)
     assert (first.others_outcomes.answered, first.others_outcomes.failed) == (2, 1)
     change = (ServerLoad("i-1", 0, 0),)
     linked.link._on_message(hub, ServerLoads("core", 2, change, partial=True))
--- a/tests/dataplane/test_older_weights.py
+++ b/tests/dataplane/test_older_weights.py
@@ -27,11 +27,11 @@
     named, log = NamedWeights(), Lines()
     older = OlderWeights(named, log)
     older.begun(Begun("i-1", "m", 1, 0, NS_PER_MS))
-    named.heard("m", 2, 0)
+    named.learn("m", 2, 0)
     older.begun(Begun("i-1", "m", 2, 0, NS_PER_MS))
     assert (log.lines, older.begun_count) == ([], 0)
     older.begun(Begun("i-1", "m", 1, 30 * NS_PER_MS, 40 * NS_PER_MS))
-    named.heard("m", 3, 50 * NS_PER_MS)
+    named.learn("m", 3, 50 * NS_PER_MS)
     older.begun(Begun("i-1", "m", 1, 60 * NS_PER_MS, 90 * NS_PER_MS))
     fields = {"server": "i-1", "model": "m", "revision": 1, "newest": 2, "sent_ms": 30, "begun_ms": 40}
     assert log.lines == [("older weights", fields)]
@@ -44,7 +44,7 @@
 def test_a_request_at_a_server_on_older_weights_is_counted_as_it_begins(stand: Stand) -> None:
     stand.serve(stream(1, 2), revision=1)
     assert stand.ask(asking("stream", lines=PROMPT)).status == 200
-    stand.plane.named_weights.heard(MODEL, 2, clock())
+    stand.plane.named_weights.learn(MODEL, 2, clock())
     assert stand.ask(asking("stream", lines=PROMPT)).status == 200
     assert stand.plane.older_weights.begun_count == 1
 
@@ -56,7 +56,7 @@
 
 
 def name_revision(stand: Stand, revision: int, ms_ago: float) -> None:
-    stand.plane.named_weights.heard(MODEL, revision, clock() - int(ms_ago * NS_PER_MS))
+    stand.plane.named_weights.learn(MODEL, revision, clock() - int(ms_ago * NS_PER_MS))
 
 
 def test_each_revision_has_an_allowance_of_its_own(stand: Stand) -> None:
--- a/tests/dataplane/test_repeats.py
+++ b/tests/dataplane/test_repeats.py
@@ -138,7 +138,7 @@
     stand.serve(answer)
     stand.ask(asking("safe", lines=b"X-Iristrack-Token-Count: 5000,9\r\n"))
     server = stand.known("i-0")
-    assert (server.inflight, server.unread_pieces) == (0, 0)
+    assert (server.inflight, server.pending_chunks) == (0, 0)
 
 
 def test_only_servers_of_the_routes_service_are_asked(stand: Stand) -> None:
--- a/tests/dataplane/test_request_lines.py
+++ b/tests/dataplane/test_request_lines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from iristrack.http1 import messages as http
-from iristrack.placement.choice import PIECE_TOKENS
+from iristrack.placement.choice import PREFILL_CHUNK_TOKENS
 from iristrack.placement.engines import cache_salt
 from iristrack.prefix_index.kv_events import KeptPart, ListAnswer
 from iristrack.runtime.scheduler import clock
@@ -327,12 +327,12 @@
 
     def answer(conversation: Conversation) -> None:
         server = stand.known("i-0")
-        seen.append((server.inflight, server.unread_pieces))
+        seen.append((server.inflight, server.pending_chunks))
         conversation.send(SOUND)
 
     stand.serve(answer)
     stand.ask(asking("safe", lines=PROMPT))
-    assert seen == [(1, -(-3000 // PIECE_TOKENS))]
+    assert seen == [(1, -(-3000 // PREFILL_CHUNK_TOKENS))]
 
 
 @pytest.mark.parametrize("told", [b"4243.99999999907", b"1.0000000000000000000001", b"9000.0"])
--- a/tests/dataplane/test_single_flight.py
+++ b/tests/dataplane/test_single_flight.py
@@ -46,7 +46,7 @@
 def test_requests_with_the_same_shared_parts_go_along_with_the_one_that_reads_them(stand: Stand) -> None:
     ask_together(stand, [prompt(f"c{number}") for number in range(REQUESTS)])
     assert arrivals(stand) == [0, REQUESTS]
-    assert len(stand.plane.first_reads) == 0
+    assert len(stand.plane.pending_prefills) == 0
 
 
 def test_requests_with_other_parts_do_not_wait_there(stand: Stand) -> None:
@@ -57,4 +57,4 @@
 def test_a_reader_that_fails_is_none_any_more(stand: Stand) -> None:
     stand.serve(lambda conversation: conversation.reset())
     stand.ask(asking("once", "a1", prompt("c1")))
-    assert len(stand.plane.first_reads) == 0
+    assert len(stand.plane.pending_prefills) == 0
--- a/tests/dataplane/test_start_gate.py
+++ b/tests/dataplane/test_start_gate.py
@@ -21,7 +21,7 @@
 def empty(stand: Stand) -> Stand:
     """A process that has just started: no configuration and no list of servers."""
     stand.plane.active = None
-    stand.plane.servers.known = False
+    stand.plane.servers.has_list = False
     return stand
 
 
--- a/tests/duties/fleet.py
+++ b/tests/duties/fleet.py
@@ -130,8 +130,8 @@
         now = process.clock(self.now)
         if not process.claiming:
             if lease.seen is None:
-                lease.saw(None, now)
-            if lease.wants_claim(now):
+                lease.observe(None, now)
+            if lease.should_claim(now):
                 self._claim(process)
             elif lease.may_act(now):
                 self.acts.append(Act(self.now, process.node, lease.process, lease.holding.fence))
@@ -185,7 +185,7 @@
         if isinstance(outcome, bytes):
             process.lease.claimed(told, began, now)
         else:
-            process.lease.saw(told, now)
+            process.lease.observe(told, now)
 
     def _commit(self, value: bytes) -> None:
         self.value = value
@@ -200,6 +200,6 @@
         delay = self.rng.randrange(0, 5_000 * MS if lost else 80 * MS)
 
         def hear() -> None:
-            process.lease.saw(decode_value(value, DutyValue), process.clock(self.now))
+            process.lease.observe(decode_value(value, DutyValue), process.clock(self.now))
 
         self._to(process, delay, hear)
--- a/tests/duties/test_lease.py
+++ b/tests/duties/test_lease.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from iristrack.duties.lease import ACT_NS, CLAIM_MARGIN_NS, RENEW_NS, Lease
+from iristrack.duties.lease import CLAIM_MARGIN_NS, RENEW_NS, RENEWAL_VALID_NS, Lease
 from iristrack.wire.messages import DutyValue
 from tests.duties.fleet import LEASE_NS, MS, Act, Fleet, Trouble
 
@@ -107,9 +107,9 @@
 
 def test_nothing_is_claimed_before_anything_was_seen() -> None:
     lease = lease_of("a")
-    assert not lease.wants_claim(10**15)
-    lease.saw(None, 10**15)
-    assert lease.wants_claim(10**15)
+    assert not lease.should_claim(10**15)
+    lease.observe(None, 10**15)
+    assert lease.should_claim(10**15)
     assert not lease.may_act(10**15)
 
 
@@ -117,8 +117,8 @@
     lease = lease_of("a")
     lease.claimed(value(1), began=1_000, now=500 * MS)
     assert lease.may_act(500 * MS)
-    assert not lease.may_act(1_000 + ACT_NS)
-    assert ACT_NS < LEASE_NS // 2
+    assert not lease.may_act(1_000 + RENEWAL_VALID_NS)
+    assert RENEWAL_VALID_NS < LEASE_NS // 2
     assert lease.holding.fence == 1
 
 
@@ -126,52 +126,52 @@
     lease = lease_of("a")
     lease.claimed(value(1), began=0, now=0)
     due = RENEW_NS
-    assert not lease.wants_claim(due - 1)
-    assert lease.wants_claim(due)
+    assert not lease.should_claim(due - 1)
+    assert lease.should_claim(due)
     assert lease.may_act(due + 400 * MS)  # a renewal may take a while
 
 
 def test_others_wait_longer_than_the_lease_after_each_sign_of_life() -> None:
     lease = lease_of("b")
-    lease.saw(value(1), 0)
-    assert not lease.wants_claim(ACT_NS + LEASE_NS + CLAIM_MARGIN_NS - 1)
-    assert lease.wants_claim(3 * LEASE_NS)
-    lease.saw(value(1), 3 * LEASE_NS - 1)  # told again: no sign of life
-    assert lease.wants_claim(3 * LEASE_NS)
-    lease.saw(value(2, renewals=1), 3 * LEASE_NS)
-    assert not lease.wants_claim(ACT_NS + 4 * LEASE_NS + CLAIM_MARGIN_NS - 1)
-    assert lease.wants_claim(6 * LEASE_NS)
+    lease.observe(value(1), 0)
+    assert not lease.should_claim(RENEWAL_VALID_NS + LEASE_NS + CLAIM_MARGIN_NS - 1)
+    assert lease.should_claim(3 * LEASE_NS)
+    lease.observe(value(1), 3 * LEASE_NS - 1)  # told again: no sign of life
+    assert lease.should_claim(3 * LEASE_NS)
+    lease.observe(value(2, renewals=1), 3 * LEASE_NS)
+    assert not lease.should_claim(RENEWAL_VALID_NS + 4 * LEASE_NS + CLAIM_MARGIN_NS - 1)
+    assert lease.should_claim(6 * LEASE_NS)
 
 
 def test_an_older_value_told_late_changes_nothing() -> None:
     lease = lease_of("b")
-    lease.saw(value(5, renewals=4), 0)
-    lease.saw(value(4, renewals=3), 1_000 * MS)
+    lease.observe(value(5, renewals=4), 0)
+    lease.observe(value(4, renewals=3), 1_000 * MS)
     assert lease.seen == value(5, renewals=4)
-    assert lease.wants_claim(3 * LEASE_NS)
+    assert lease.should_claim(3 * LEASE_NS)
 
 
 def test_a_holder_that_sees_another_stops_at_once() -> None:
     lease = lease_of("a")
     lease.claimed(value(1), began=0, now=0)
-    lease.saw(value(2, owner="b", fence=2), 1)
+    lease.observe(value(2, owner="b", fence=2), 1)
     assert not lease.may_act(1)
-    assert not lease.wants_claim(1)
+    assert not lease.should_claim(1)
 
 
 def test_another_process_of_the_same_machine_is_another_holder() -> None:
     lease = Lease("a", "a-2", LEASE_NS)
-    lease.saw(value(1), 0)
-    assert not lease.wants_claim(LEASE_NS)
+    lease.observe(value(1), 0)
+    assert not lease.should_claim(LEASE_NS)
     assert not lease.may_act(0)
 
 
 def test_a_claim_of_ones_own_that_got_no_answer_is_renewed_before_anything_is_done() -> None:
     lease = lease_of("a")
-    lease.saw(None, 0)
-    lease.saw(value(1), 10)
+    lease.observe(None, 0)
+    lease.observe(value(1), 10)
     assert not lease.may_act(10)
-    assert lease.wants_claim(10)
+    assert lease.should_claim(10)
 
 
 def test_a_holder_whose_fence_a_server_refused_gives_no_order_until_it_has_another() -> None:
@@ -180,7 +180,7 @@
     assert lease.may_act(1)
     lease.refused(3)
     assert not lease.may_act(1)
-    assert lease.wants_claim(1)
+    assert lease.should_claim(1)
     assert lease.refused_fence == 3
     lease.claimed(DutyValue(2, "n", "p", 4, 1), 1, 2)
     lease.refused(3)  # an order of before: the new fence stands
--- a/tests/engines/test_canary_analysis.py
+++ b/tests/engines/test_canary_analysis.py
@@ -6,52 +6,52 @@
 
 import pytest
 
-from iristrack.engines.canary_analysis import ALL_ROUTES, Answers, VersionTest
+from iristrack.engines.canary_analysis import ALL_ROUTES, Answers, CanaryAnalysis
 
 ROUTES = ("statement", "query")
 SERVERS = ("s1", "s2", "s3")
 OLD = {"statement": Answers(good=400, failed=2, slow=8), "query": Answers(good=350, failed=1, slow=20)}
 
 
-def looked_at(test: VersionTest, counts: dict, old: dict = OLD):
-    return test.look({row: Answers(*numbers) for row, numbers in counts.items()}, old)
+def looked_at(test: CanaryAnalysis, counts: dict, old: dict = OLD):
+    return test.update({row: Answers(*numbers) for row, numbers in counts.items()}, old)
 
 
 @pytest.mark.parametrize(("numbers", "kind"), [((4, 4, 0), "failed"), ((6, 0, 6), "slow")])
 def test_a_version_that_answers_badly_at_several_servers_is_found(numbers, kind: str) -> None:
-    found = looked_at(VersionTest(), {("query", server): numbers for server in SERVERS[:2]})
+    found = looked_at(CanaryAnalysis(), {("query", server): numbers for server in SERVERS[:2]})
     assert found.kind == kind
 
 
 def test_a_version_that_is_bad_on_one_route_only_is_found_there() -> None:
     counts = {("statement", s): (200, 0, 0) for s in SERVERS} | {("query", s): (2, 2, 0) for s in SERVERS}
-    assert looked_at(VersionTest(), counts).route in ("query", ALL_ROUTES)
+    assert looked_at(CanaryAnalysis(), counts).route in ("query", ALL_ROUTES)
 
 
 def test_one_server_of_several_that_is_ill_says_nothing_of_the_version() -> None:
     counts = {("query", "s1"): (0, 30, 0), ("query", "s2"): (30, 0, 0), ("query", "s3"): (30, 0, 0)}
-    assert looked_at(VersionTest(), counts) is None
+    assert looked_at(CanaryAnalysis(), counts) is None
 
 
 def test_the_only_server_that_was_asked_speaks_for_the_version() -> None:
-    assert looked_at(VersionTest(), {("query", "s1"): (1, 6, 0)}) is not None
+    assert looked_at(CanaryAnalysis(), {("query", "s1"): (1, 6, 0)}) is not None
 
 
 def test_a_fault_that_hits_both_versions_says_nothing_of_the_new_one() -> None:
     old = {route: Answers(good=60, failed=60) for route in ROUTES}
     counts = {(route, server): (10, 10, 0) for route in ROUTES for server in SERVERS}
-    assert looked_at(VersionTest(), counts, old) is None
+    assert looked_at(CanaryAnalysis(), counts, old) is None
 
 
 def test_good_times_do_not_hide_a_version_that_turns_bad_late() -> None:
-    test = VersionTest()
+    test = CanaryAnalysis()
     rows = [("query", server) for server in SERVERS]
     assert looked_at(test, dict.fromkeys(rows, (3000, 3, 20))) is None
     assert looked_at(test, dict.fromkeys(rows, (3002, 6, 20))) is not None
 
 
 def test_counts_that_are_told_again_or_fall_back_count_once() -> None:
-    test = VersionTest()
+    test = CanaryAnalysis()
     rows = {("query", server): (20, 1, 0) for server in SERVERS}
     for _ in range(50):
         assert looked_at(test, rows) is None
@@ -62,7 +62,7 @@
     """As often failed and slow as the old one, and slow twice as often, as servers without prompts are."""
     found = 0
     for seed in range(200):
-        draw, test, counts = random.Random(seed), VersionTest(), {}
+        draw, test, counts = random.Random(seed), CanaryAnalysis(), {}
         for _ in range(40):
             for route in ROUTES:
                 row = (route, draw.choice(SERVERS))
@@ -85,7 +85,7 @@
 def test_a_version_of_which_half_is_bad_is_found_within_a_few_answers(kind: str) -> None:
     needed = []
     for seed in range(100):
-        draw, test, counts = random.Random(seed), VersionTest(), {}
+        draw, test, counts = random.Random(seed), CanaryAnalysis(), {}
         for number in range(1, 200):
             row = (draw.choice(ROUTES), draw.choice(SERVERS))
             good, failed, slow = counts.get(row, (0, 0, 0))
--- a/tests/engines/test_named_weights.py
+++ b/tests/engines/test_named_weights.py
@@ -8,7 +8,7 @@
 from iristrack.engines.named_weights import (
     EARLIER_NS,
     LOOK_AGAIN_NS,
-    MOST_MODELS,
+    MAX_MODELS,
     MOST_REVISIONS,
     NS_PER_MS,
     NamedWeights,
@@ -21,9 +21,9 @@
 def test_a_revision_is_superseded_by_the_first_one_above_it() -> None:
     named = NamedWeights()
     assert named.superseded_at("m", 1) is None
-    assert named.heard("m", 2, 20)
-    assert named.heard("m", 4, 40)
-    assert not named.heard("m", 3, 30)
+    assert named.learn("m", 2, 20)
+    assert named.learn("m", 4, 40)
+    assert not named.learn("m", 3, 30)
     moments = [named.superseded_at("m", revision) for revision in (0, 1, 2, 3, 4, 5)]
     assert moments == [20, 20, 30, 40, None, None]
     assert (named.newest("m"), named.newest("other")) == (4, 0)
@@ -31,17 +31,17 @@
 
 def test_the_earliest_moment_counts_and_a_repeat_is_not_newer() -> None:
     named = NamedWeights()
-    assert named.heard("m", 2, 20)
-    assert not named.heard("m", 2, 25)
+    assert named.learn("m", 2, 20)
+    assert not named.learn("m", 2, 25)
     assert named.superseded_at("m", 1) == 20
-    assert not named.heard("m", 2, 15)
+    assert not named.learn("m", 2, 15)
     assert named.superseded_at("m", 1) == 15
 
 
 def test_a_revision_was_named_no_later_than_the_next_one() -> None:
     named = NamedWeights()
-    named.heard("m", 2, 20)
-    named.heard("m", 3, 10)
+    named.learn("m", 2, 20)
+    named.learn("m", 3, 10)
     assert named.superseded_at("m", 1) == 10
 
 
@@ -49,9 +49,9 @@
 def test_moments_do_not_depend_on_the_order_of_reports(reports: list[tuple[int, int]]) -> None:
     forward, backward = NamedWeights(), NamedWeights()
     for revision, at in reports:
-        forward.heard("m", revision, at)
+        forward.learn("m", revision, at)
     for revision, at in reversed(reports):
-        backward.heard("m", revision, at)
+        backward.learn("m", revision, at)
     for revision in range(7):
         expected = min((at for told, at in reports if told > revision), default=None)
         assert forward.superseded_at("m", revision) == backward.superseded_at("m", revision) == expected
@@ -60,7 +60,7 @@
 def test_the_table_is_bounded_and_never_tells_a_later_moment() -> None:
     named = NamedWeights()
     for revision in range(1, 3 * MOST_REVISIONS):
-        named.heard("m", revision, revision * 10)
+        named.learn("m", revision, revision * 10)
     assert len(named._named["m"]) == MOST_REVISIONS
     for revision in range(3 * MOST_REVISIONS - 1):
         assert named.superseded_at("m", revision) <= (revision + 1) * 10
@@ -71,7 +71,7 @@
     named = NamedWeights()
     required = 0
     for revision, at in reports:
-        named.heard("m", revision, at)
+        named.learn("m", revision, at)
         assert named.required("m", now, allowance) >= required
         required = named.required("m", now, allowance)
     assert required == max((revision for revision, at in reports if now - at >= allowance), default=0)
@@ -79,11 +79,11 @@
 
 def test_ages_bring_the_moments_to_another_process() -> None:
     here, there = NamedWeights(), NamedWeights()
-    here.heard("m", 2, 1_000 * NS_PER_MS)
-    here.heard("m", 3, 4_000 * NS_PER_MS + 1)
+    here.learn("m", 2, 1_000 * NS_PER_MS)
+    here.learn("m", 3, 4_000 * NS_PER_MS + 1)
     ages = here.ages(5_000 * NS_PER_MS)
     assert ages == (NamedAge("m", 2, 4_000), NamedAge("m", 3, 1_000))  # never told as younger than it is
-    there.heard_ages(ages, 90_000 * NS_PER_MS)  # its clock began elsewhere
+    there.learn_ages(ages, 90_000 * NS_PER_MS)  # its clock began elsewhere
     assert there.superseded_at("m", 1) == 86_000 * NS_PER_MS
     assert there.superseded_at("m", 2) == 89_000 * NS_PER_MS
 
@@ -92,17 +92,17 @@
     named = NamedWeights()
     assert named.begin_by("m", 1, 70, 0) == 70 + LOOK_AGAIN_NS
     assert named.begin_by("m", 1, 70, 2 * LOOK_AGAIN_NS) == 70 + 2 * LOOK_AGAIN_NS
-    named.heard("m", 2, 20)
-    named.heard("m", 3, 60)
+    named.learn("m", 2, 20)
+    named.learn("m", 3, 60)
     assert (named.begin_by("m", 1, 70, 100), named.begin_by("m", 2, 70, 100)) == (120, 160)
 
 
 def test_models_are_bounded() -> None:
     named = NamedWeights()
-    for number in range(MOST_MODELS + 5):
-        named.heard(f"m{number}", 2, 0)
-    assert named.heard("m0", 3, 1)
-    assert len(named.ages(0)) == MOST_MODELS + 1
+    for number in range(MAX_MODELS + 5):
+        named.learn(f"m{number}", 2, 0)
+    assert named.learn("m0", 3, 1)
+    assert len(named.ages(0)) == MAX_MODELS + 1
 
 
 SECOND = 1000 * NS_PER_MS
@@ -111,7 +111,7 @@
 def test_who_knows_an_earlier_moment_than_was_told_says_so() -> None:
     named = NamedWeights()
     assert not named.knows_earlier([], SECOND)
-    named.heard("m", 2, SECOND)
+    named.learn("m", 2, SECOND)
     now = 5 * SECOND
     assert named.knows_earlier([], now)  # the other has forgotten the revision
     assert named.knows_earlier([NamedAge("m", 2, 1000)], now)
--- a/tests/engines/test_rolling_upgrade.py
+++ b/tests/engines/test_rolling_upgrade.py
@@ -10,7 +10,7 @@
     AT_ONCE_SHARE,
     PREPARE_NS,
     REST_NS,
-    Roll,
+    RollingUpgrade,
     Upgrade,
     wanted_upgrades,
 )
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize(("servers", "at_once"), [(1, 1), (2, 1), (3, 1), (5, 2), (9, 3), (100, 40)])
 def test_most_servers_go_on_serving(servers: int, at_once: int) -> None:
-    roll, now = Roll(), 0
+    roll, now = RollingUpgrade(), 0
     wanted = upgrades(servers)
     for _ in range(5):
         roll.next_orders(wanted, servers, now)
@@ -54,7 +54,7 @@
 
 
 def test_a_server_is_prepared_before_it_is_ordered() -> None:
-    roll = Roll()
+    roll = RollingUpgrade()
     wanted = upgrades(5)
     assert roll.next_orders(wanted, SERVERS, 0) == []
     assert list(roll.preparing) == ["i-00", "i-01"]
@@ -65,19 +65,19 @@
 
 
 def test_a_roll_is_under_way_from_the_first_preparation_to_the_last_end() -> None:
-    roll = Roll()
-    assert not roll.under_way
+    roll = RollingUpgrade()
+    assert not roll.in_progress
     roll.next_orders(upgrades(1), SERVERS, 0)
-    assert roll.under_way  # prepared, none ordered
+    assert roll.in_progress  # prepared, none ordered
     roll.next_orders(upgrades(1), SERVERS, PREPARE_NS)
-    assert roll.under_way and not roll.preparing  # ordered, none prepared
+    assert roll.in_progress and not roll.preparing  # ordered, none prepared
     roll.ended("i-00")
-    assert not roll.under_way
+    assert not roll.in_progress
 
 
 def test_a_server_is_prepared_only_once_there_is_a_place_for_it() -> None:
     """While it is prepared it is left alone, as those that take weights are: before its turn that is for nothing."""
-    roll = Roll()
+    roll = RollingUpgrade()
     wanted = upgrades(4)
     roll.next_orders(wanted, SERVERS, 0)
     roll.next_orders(wanted, SERVERS, PREPARE_NS)
@@ -91,7 +91,7 @@
 
 
 def test_what_is_no_longer_wanted_is_not_ordered() -> None:
-    roll = Roll()
+    roll = RollingUpgrade()
     roll.next_orders(upgrades(3), SERVERS, 0)
     assert roll.next_orders([upgrade("i-02")], SERVERS, PREPARE_NS) == []
     assert list(roll.preparing) == ["i-02"]
@@ -99,7 +99,7 @@
 
 
 def test_an_upgrade_that_was_given_up_is_begun_anew() -> None:
-    roll = Roll()
+    roll = RollingUpgrade()
     roll.next_orders(upgrades(1), SERVERS, 0)
     assert roll.next_orders(upgrades(1), SERVERS, PREPARE_NS) == upgrades(1)
     assert roll.next_orders(upgrades(1), SERVERS, 5 * PREPARE_NS) == []
@@ -110,7 +110,7 @@
 
 
 def test_a_server_takes_one_model_at_a_time() -> None:
-    roll = Roll()
+    roll = RollingUpgrade()
     wanted = [upgrade("i-00"), upgrade("i-00", 5, "n")]
     roll.next_orders(wanted, SERVERS, 0)
     assert roll.next_orders(wanted, SERVERS, PREPARE_NS) == wanted[:1]
@@ -131,7 +131,7 @@
 def test_few_at_once_each_prepared_and_all_in_the_end(count, more, seed, failures, never_done) -> None:
     """Upgrades last at random, some fail and are wanted again, a few servers never take theirs."""
     rng = random.Random(seed)
-    roll, now = Roll(), 0
+    roll, now = RollingUpgrade(), 0
     servers = count + more
     at_once = max(1, int(servers * AT_ONCE_SHARE))
     wanted = {u.instance_id: u for u in upgrades(count)}
@@ -166,11 +166,11 @@
 
 
 def test_a_server_that_takes_no_order_lets_the_others_go_first() -> None:
-    roll = Roll()
+    roll = RollingUpgrade()
     wanted = upgrades(3)
     roll.next_orders(wanted, 1, 0)
     assert roll.next_orders(wanted, 1, PREPARE_NS) == [wanted[0]]
-    roll.given_up("i-00", PREPARE_NS)
+    roll.postpone("i-00", PREPARE_NS)
     assert roll.next_orders(wanted, 1, PREPARE_NS) == []
     assert list(roll.preparing) == ["i-01"]
     assert roll.next_orders(wanted, 1, 2 * PREPARE_NS) == [wanted[1]]
--- a/tests/engines/test_rollouts.py
+++ b/tests/engines/test_rollouts.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from iristrack.engines.canary_analysis import Answers, VersionTest
+from iristrack.engines.canary_analysis import Answers, CanaryAnalysis
 from iristrack.engines.rollouts import (
     FINISHED,
+    FULL_SHARE,
     LEAST_CANARY_SHARE,
     REVERTED,
     RUNNING,
-    WHOLE,
-    Situation,
+    RolloutObservation,
     busy_servers,
     is_loaded,
     next_state,
@@ -24,10 +24,10 @@
 NS_PER_MS = 1_000_000
 OVER_MS = 16_000
 BEGUN = RolloutState("pool", "v2", OVER_MS, RUNNING, 0, 1)
-CALM = Situation(0, 0, new_ready=5, old_ready=5, answers=100, under_way_old=0, is_bad=False)
+CALM = RolloutObservation(0, 0, new_ready=5, old_ready=5, answers=100, old_inflight=0, is_bad=False)
 
 
-def at(time: float, **more: object) -> Situation:
+def at(time: float, **more: object) -> RolloutObservation:
     return replace(CALM, elapsed_ns=int(time * OVER_MS * NS_PER_MS), **more)
 
 
@@ -41,7 +41,7 @@
     for _ in range(8):
         state = next_state(state, at(0.9))
         shares.append(state.share)
-    assert shares[-1] == WHOLE
+    assert shares[-1] == FULL_SHARE
     assert shares == sorted(shares)
     assert len(set(shares)) >= 4
 
@@ -53,7 +53,7 @@
     assert next_state(canary, at(0.65, answers=3)).share > LEAST_CANARY_SHARE
 
 
-@pytest.mark.parametrize("share", [0, LEAST_CANARY_SHARE, WHOLE])
+@pytest.mark.parametrize("share", [0, LEAST_CANARY_SHARE, FULL_SHARE])
 def test_a_bad_version_is_reverted_from_any_step_and_for_good(share: int) -> None:
     reverted = next_state(replace(BEGUN, share=share), at(0.5, is_bad=True))
     assert (reverted.phase, reverted.share) == (REVERTED, 0)
@@ -61,13 +61,13 @@
 
 
 def test_it_is_finished_once_nothing_is_under_way_at_the_old_servers() -> None:
-    whole = replace(BEGUN, share=WHOLE)
+    whole = replace(BEGUN, share=FULL_SHARE)
     long = 2_000 * NS_PER_MS
-    assert next_state(whole, at(0.8, whole_ns=long, under_way_old=3)).phase == RUNNING
-    assert next_state(whole, at(0.8, whole_ns=100 * NS_PER_MS)).phase == RUNNING
-    assert next_state(whole, at(0.8, whole_ns=long)).phase == FINISHED
-    assert next_state(whole, at(0.95, whole_ns=long, under_way_old=3)).phase == FINISHED
-    assert next_state(whole, at(0.95, whole_ns=long, new_ready=0)).phase == RUNNING
+    assert next_state(whole, at(0.8, full_share_ns=long, old_inflight=3)).phase == RUNNING
+    assert next_state(whole, at(0.8, full_share_ns=100 * NS_PER_MS)).phase == RUNNING
+    assert next_state(whole, at(0.8, full_share_ns=long)).phase == FINISHED
+    assert next_state(whole, at(0.95, full_share_ns=long, old_inflight=3)).phase == FINISHED
+    assert next_state(whole, at(0.95, full_share_ns=long, new_ready=0)).phase == RUNNING
 
 
 @pytest.mark.parametrize(
@@ -82,7 +82,7 @@
 
 
 def test_a_share_goes_to_so_few_servers_that_they_are_as_busy_as_all_would_be() -> None:
-    assert sent_to(70, WHOLE) == 70
+    assert sent_to(70, FULL_SHARE) == 70
     assert sent_to(70, 450) < 0.45 * 70
     assert sent_to(70, 100) == 6
     assert sent_to(1, LEAST_CANARY_SHARE) == sent_to(5, LEAST_CANARY_SHARE) == 1
@@ -121,7 +121,7 @@
     old: dict = field(default_factory=dict)
 
     def play(self) -> None:
-        draw, test = random.Random(self.seed), VersionTest()
+        draw, test = random.Random(self.seed), CanaryAnalysis()
         in_force: list[tuple[int, int]] = []
         answers: list[tuple[int, bool, str, str, int]] = []
         whole_at, verdict = 0, None
@@ -131,21 +131,21 @@
                 self.per_s * STEP_MS // 1000 + (draw.random() < (self.per_s * STEP_MS / 1000) % 1)
             ):
                 self.sent += 1
-                is_new = draw.random() * WHOLE < share
+                is_new = draw.random() * FULL_SHARE < share
                 self.sent_new += is_new
                 answers.append((now + draw.randint(40, 600), is_new, *self._outcome(draw, now, is_new)))
             for answer in [a for a in answers if a[0] <= now]:
                 answers.remove(answer)
                 self._count(answer)
-            verdict = verdict or test.look(self.counts, self.old)
-            whole_at = whole_at or (now if self.state.share >= WHOLE else 0)
-            situation = Situation(
+            verdict = verdict or test.update(self.counts, self.old)
+            whole_at = whole_at or (now if self.state.share >= FULL_SHARE else 0)
+            situation = RolloutObservation(
                 elapsed_ns=now * NS_PER_MS,
-                whole_ns=(now - whole_at) * NS_PER_MS if whole_at else 0,
+                full_share_ns=(now - whole_at) * NS_PER_MS if whole_at else 0,
                 new_ready=9 if now >= NEW_READY_MS else 0,
                 old_ready=9,
                 answers=test.answers.total,
-                under_way_old=sum(not a[1] for a in answers),
+                old_inflight=sum(not a[1] for a in answers),
                 is_bad=verdict is not None,
                 all_answers=sum(a.total for a in (*self.counts.values(), *self.old.values())),
             )
--- a/tests/placement/samples.py
+++ b/tests/placement/samples.py
@@ -1,9 +1,9 @@
 from __future__ import annotations
 
-from iristrack.placement.choice import Prompt
+from iristrack.placement.choice import PrefillEstimate
 from iristrack.placement.servers import ListedServer, Server, ServerTable
 
-NOTHING_KEPT = Prompt(0, 0, 0)
+NOTHING_KEPT = PrefillEstimate(0, 0, 0)
 
 
 def listed(name: str, service: str = "pool", ready: bool = True, **models: int) -> ListedServer:
@@ -12,9 +12,9 @@
 
 def servers(count: int) -> list[Server]:
     table = ServerTable()
-    table.take_list([listed(f"i-{number}") for number in range(count)])
+    table.apply_server_list([listed(f"i-{number}") for number in range(count)])
     return table.of_service("pool")
 
 
-def nothing_kept(server: Server) -> Prompt:
+def nothing_kept(server: Server) -> PrefillEstimate:
     return NOTHING_KEPT
--- a/tests/placement/test_engines.py
+++ b/tests/placement/test_engines.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.placement.engines import cache_salt, serving
+from iristrack.placement.engines import cache_salt, servers_with_model
 from iristrack.placement.servers import ServerTable
 from tests.placement.samples import listed
 
@@ -26,10 +26,12 @@
 
 def test_only_servers_with_the_model_and_new_enough_weights_serve() -> None:
     table = ServerTable()
-    table.take_list([listed("i-1", m=1), listed("i-2", m=2), listed("i-3", other=5), listed("i-4", m=0)])
+    table.apply_server_list(
+        [listed("i-1", m=1), listed("i-2", m=2), listed("i-3", other=5), listed("i-4", m=0)]
+    )
 
     def names(least: int) -> list[str]:
-        return [server.instance_id for server in serving(table.servers.values(), "m", least)]
+        return [server.instance_id for server in servers_with_model(table.servers.values(), "m", least)]
 
     assert names(0) == ["i-1", "i-2"]
     assert names(1) == ["i-1", "i-2"]
--- a/tests/placement/test_loads.py
+++ b/tests/placement/test_loads.py
@@ -11,7 +11,7 @@
     MOST_SENDERS,
     REPEAT_NS,
     WHOLE_NS,
-    LoadBoard,
+    LoadAggregator,
     by_instance,
     report_interval,
     subtract_loads,
@@ -29,11 +29,11 @@
 
 @given(st.lists(LOADS, max_size=5))
 def test_the_sum_holds_every_load_once(rows) -> None:
-    board = LoadBoard()
+    board = LoadAggregator()
     requests: Counter[str] = Counter()
     pieces: Counter[str] = Counter()
     for number, loads in enumerate(rows):
-        board.take(ServerLoads(f"n{number}", 1, tuple(ServerLoad(*load) for load in loads)), 0)
+        board.apply_report(ServerLoads(f"n{number}", 1, tuple(ServerLoad(*load) for load in loads)), 0)
         for instance, request_count, piece_count in loads:
             requests[instance] += request_count
             pieces[instance] += piece_count
@@ -42,9 +42,9 @@
 
 
 def test_outcomes_are_summed_with_what_is_under_way() -> None:
-    board = LoadBoard()
-    board.take(ServerLoads("n1", 1, (ServerLoad("a", 1, 2, answered=3, failed=4),)), 0)
-    board.take(ServerLoads("n2", 1, (ServerLoad("a", 10, 20, answered=30, failed=40),)), 0)
+    board = LoadAggregator()
+    board.apply_report(ServerLoads("n1", 1, (ServerLoad("a", 1, 2, answered=3, failed=4),)), 0)
+    board.apply_report(ServerLoads("n2", 1, (ServerLoad("a", 10, 20, answered=30, failed=40),)), 0)
     assert board.total == {"a": ServerLoad("a", 11, 22, answered=33, failed=44)}
 
 
@@ -59,30 +59,32 @@
 @given(st.lists(st.tuples(st.sampled_from("xyz"), TABLES, st.booleans()), max_size=20))
 def test_the_sum_of_partial_reports_is_that_of_whole_ones(steps) -> None:
     """A model of the board: each sender's newest table, summed anew; `lost` senders report to nobody once."""
-    board, streams, newest, now = LoadBoard(), {}, {}, 0
+    board, streams, newest, now = LoadAggregator(), {}, {}, 0
     for sender, rows, lost in steps:
         now += REPEAT_NS // 10
         table = by_instance(ServerLoad(i, *row) for i, row in rows.items() if any(row))
         stream = streams.setdefault(sender, ReportStream(sender))
         report = stream.next(table, 1, now)
         if lost:  # as when the connection ends: what follows is whole
-            stream.begin_anew()
+            stream.force_full_report()
         elif report is not None:
-            assert board.take(report, now)
+            assert board.apply_report(report, now)
             newest[sender] = table
     assert board.total == by_instance(load for table in newest.values() for load in table.values())
 
 
 def test_changes_to_what_is_not_known_wait_for_the_next_whole_report() -> None:
-    board = LoadBoard()
+    board = LoadAggregator()
     part = ServerLoads("n1", 2, (ServerLoad("a", 1, 0),), partial=True)
-    assert not board.take(part, 0)  # nothing before it is known
-    assert board.take(told("n1", 2, a=1), 0)
-    assert not board.take(
+    assert not board.apply_report(part, 0)  # nothing before it is known
+    assert board.apply_report(told("n1", 2, a=1), 0)
+    assert not board.apply_report(
         ServerLoads("n1", 4, (ServerLoad("b", 1, 0),), partial=True), 0
     )  # the third is missing
     assert board.total == {"a": ServerLoad("a", 1, 2)}
-    assert board.take(ServerLoads("n1", 3, (ServerLoad("a", 0, 0), ServerLoad("b", 1, 0)), partial=True), 0)
+    assert board.apply_report(
+        ServerLoads("n1", 3, (ServerLoad("a", 0, 0), ServerLoad("b", 1, 0)), partial=True), 0
+    )
     assert board.total == {"b": ServerLoad("b", 1, 0)}
 
 
@@ -99,7 +101,7 @@
         "n", 4, (), partial=True
     )  # a sign of life
     assert stream.next({"b": two}, 1, WHOLE_NS) == ServerLoads("n", 5, (two,))
-    stream.begin_anew()
+    stream.force_full_report()
     assert stream.next({"b": two}, 1, WHOLE_NS + 1) == ServerLoads("n", 6, (two,))
 
 
@@ -111,25 +113,25 @@
 
 
 def test_a_newer_report_takes_the_place_of_the_older_and_not_the_other_way_round() -> None:
-    board = LoadBoard()
-    assert board.take(told("n1", 5, a=1), 0)
-    assert not board.take(told("n1", 4, a=9), 1)
-    assert not board.take(told("n1", 5, a=9), 1)
-    assert board.take(told("n1", 6, b=1), 1)
+    board = LoadAggregator()
+    assert board.apply_report(told("n1", 5, a=1), 0)
+    assert not board.apply_report(told("n1", 4, a=9), 1)
+    assert not board.apply_report(told("n1", 5, a=9), 1)
+    assert board.apply_report(told("n1", 6, b=1), 1)
     assert board.total == {"b": ServerLoad("b", 1, 2)}
 
 
 def test_a_sender_that_counts_anew_is_believed_once_its_old_reports_have_lapsed() -> None:
-    board = LoadBoard()
-    board.take(told("n1", 50, a=1), 0)
-    assert not board.take(told("n1", 1, a=2), EXPIRY_NS - 1)
-    assert board.take(told("n1", 1, a=2), EXPIRY_NS)
+    board = LoadAggregator()
+    board.apply_report(told("n1", 50, a=1), 0)
+    assert not board.apply_report(told("n1", 1, a=2), EXPIRY_NS - 1)
+    assert board.apply_report(told("n1", 1, a=2), EXPIRY_NS)
 
 
 def test_who_falls_silent_counts_for_nothing() -> None:
-    board = LoadBoard()
-    board.take(told("n1", 1, a=1), 0)
-    board.take(told("n2", 1, a=1), 1)
+    board = LoadAggregator()
+    board.apply_report(told("n1", 1, a=1), 0)
+    board.apply_report(told("n2", 1, a=1), 1)
     board.expire(EXPIRY_NS - 1)
     assert board.senders() == ["n1", "n2"]
     board.expire(EXPIRY_NS)
@@ -138,9 +140,9 @@
 
 
 def test_senders_are_bounded() -> None:
-    board = LoadBoard()
+    board = LoadAggregator()
     for number in range(MOST_SENDERS):
-        assert board.take(told(f"n{number}", 1, a=1), 0)
-    assert not board.take(told("one more", 1, a=1), 0)
-    assert board.take(told("n0", 2, a=1), 0)
+        assert board.apply_report(told(f"n{number}", 1, a=1), 0)
+    assert not board.apply_report(told("one more", 1, a=1), 0)
+    assert board.apply_report(told("n0", 2, a=1), 0)
     assert len(board.senders()) == MOST_SENDERS
--- a/tests/placement/test_outcomes.py
+++ b/tests/placement/test_outcomes.py
@@ -11,7 +11,7 @@
     MOST_LEFT_OUT,
     Outcomes,
     OutcomeWindow,
-    left_out,
+    ejected_servers,
 )
 
 ENDS = st.lists(st.tuples(st.integers(0, 3 * BUCKET_NS), st.booleans()), max_size=60)
@@ -47,7 +47,7 @@
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 9)), max_size=30))
 def test_the_worst_suspects_are_left_out_within_the_bound(counts) -> None:
     outcomes = {f"i-{number}": Outcomes(*pair) for number, pair in enumerate(counts)}
-    out = left_out(outcomes.items())
+    out = ejected_servers(outcomes.items())
     assert len(out) <= len(outcomes) * MOST_LEFT_OUT
     assert all(outcomes[name].suspect for name in out)
 
--- a/tests/placement/test_ranking.py
+++ b/tests/placement/test_ranking.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.placement.choice import ranked
+from iristrack.placement.choice import rank_servers
 from tests.placement.samples import servers
 
 KEYS = [f"part-{number}" for number in range(400)]
@@ -16,7 +16,9 @@
     shuffled = list(pool)
     random.Random(5).shuffle(shuffled)
     for key in KEYS[:50]:
-        assert ranked(pool, key, random.Random(1), 7) == ranked(shuffled, key, random.Random(2), 7)
+        assert rank_servers(pool, key, random.Random(1), 7) == rank_servers(
+            shuffled, key, random.Random(2), 7
+        )
 
 
 @given(st.integers(2, 9), st.integers(0, 8), st.sampled_from(KEYS), st.integers(1, 9))
@@ -26,23 +28,23 @@
     pool = servers(count)
     gone = pool[removed % count]
     rest = [server for server in pool if server is not gone]
-    whole = ranked(pool, key, random.Random(0), count)
-    assert ranked(rest, key, random.Random(0), most) == [s for s in whole if s is not gone][:most]
+    whole = rank_servers(pool, key, random.Random(0), count)
+    assert rank_servers(rest, key, random.Random(0), most) == [s for s in whole if s is not gone][:most]
 
 
 def test_each_server_is_the_first_for_about_its_share_of_keys() -> None:
     pool = servers(4)
-    firsts = [ranked(pool, key, random.Random(0), 1)[0] for key in KEYS]
+    firsts = [rank_servers(pool, key, random.Random(0), 1)[0] for key in KEYS]
     assert all(70 <= firsts.count(server) <= 130 for server in pool)
 
 
 def test_a_ranking_asks_for_no_more_than_there_are() -> None:
-    assert len(ranked(servers(1), None, random.Random(0), 2)) == 1
-    assert len(ranked(servers(1), "key", random.Random(0), 2)) == 1
-    assert len(set(ranked(servers(5), None, random.Random(0), 2))) == 2
+    assert len(rank_servers(servers(1), None, random.Random(0), 2)) == 1
+    assert len(rank_servers(servers(1), "key", random.Random(0), 2)) == 1
+    assert len(set(rank_servers(servers(5), None, random.Random(0), 2))) == 2
 
 
 def test_all_processes_rank_alike() -> None:
     """Written down once: a ranking that differs from process to process would scatter each key over the servers."""
-    ranking = ranked(servers(6), "5c1e07a2", random.Random(0), 6)
+    ranking = rank_servers(servers(6), "5c1e07a2", random.Random(0), 6)
     assert [server.instance_id for server in ranking] == ["i-2", "i-5", "i-0", "i-4", "i-1", "i-3"]
--- a/tests/placement/test_retry_budget.py
+++ b/tests/placement/test_retry_budget.py
@@ -71,10 +71,10 @@
 
 def test_more_sidecars_take_from_each_at_once_and_fewer_give_nothing_for_nothing() -> None:
     budget = RetryBudget(RATIO, SLACK, 1)
-    budget.share(13)
+    budget.set_sidecars(13)
     assert budget.tokens <= SLACK / 13
     held = budget.tokens
-    budget.share(1)
+    budget.set_sidecars(1)
     assert budget.tokens == held
 
 
--- a/tests/placement/test_rollouts.py
+++ b/tests/placement/test_rollouts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from iristrack.engines.rollouts import FINISHED, REVERTED, RUNNING, WHOLE
+from iristrack.engines.rollouts import FINISHED, FULL_SHARE, REVERTED, RUNNING
 from iristrack.placement.rollouts import FEWEST_SAMPLES, LEASE_NS, MOST_ROWS, AnswerTimes, Rollouts
 from iristrack.placement.servers import ListedServer, Server
 from iristrack.wire.messages import RolloutState
@@ -27,24 +27,24 @@
 
 def rollouts(phase: str = RUNNING, share: int = 0, confirmed_at: int | None = 0) -> Rollouts:
     made = Rollouts()
-    made.follow([RolloutState("pool", "v2", 16_000, phase, share, 1)])
+    made.apply_states([RolloutState("pool", "v2", 16_000, phase, share, 1)])
     if confirmed_at is not None:
-        made.confirmed(confirmed_at)
+        made.renew_lease(confirmed_at)
     return made
 
 
 def chosen(made: Rollouts, servers=ALL, again: bool = False, now: int = 0) -> list[Server]:
-    return list(made.allowed("pool", servers, again, now, random.Random(1)))
+    return list(made.allowed_servers("pool", servers, again, now, random.Random(1)))
 
 
 def test_a_service_that_is_not_rolled_out_uses_all_its_servers() -> None:
     assert chosen(Rollouts()) == ALL
-    assert list(rollouts(FINISHED).allowed("other", ALL, False, 0, random.Random(1))) == ALL
+    assert list(rollouts(FINISHED).allowed_servers("other", ALL, False, 0, random.Random(1))) == ALL
 
 
 @pytest.mark.parametrize(
     ("phase", "share", "wanted"),
-    [(RUNNING, 0, OLD), (RUNNING, WHOLE, NEW), (FINISHED, WHOLE, NEW), (REVERTED, 0, OLD)],
+    [(RUNNING, 0, OLD), (RUNNING, FULL_SHARE, NEW), (FINISHED, FULL_SHARE, NEW), (REVERTED, 0, OLD)],
 )
 def test_each_phase_has_its_version(phase: str, share: int, wanted: list[Server]) -> None:
     assert chosen(rollouts(phase, share)) == wanted
@@ -56,15 +56,15 @@
 
 
 def test_what_was_allowed_lapses_where_the_core_is_not_heard_of() -> None:
-    assert chosen(rollouts(RUNNING, WHOLE), now=LEASE_NS) == NEW
-    assert chosen(rollouts(RUNNING, WHOLE), now=LEASE_NS + 1) == OLD
-    assert chosen(rollouts(RUNNING, WHOLE, confirmed_at=None)) == OLD
-    assert chosen(rollouts(RUNNING, WHOLE), NEW, now=LEASE_NS + 1) == NEW  # the others have gone
+    assert chosen(rollouts(RUNNING, FULL_SHARE), now=LEASE_NS) == NEW
+    assert chosen(rollouts(RUNNING, FULL_SHARE), now=LEASE_NS + 1) == OLD
+    assert chosen(rollouts(RUNNING, FULL_SHARE, confirmed_at=None)) == OLD
+    assert chosen(rollouts(RUNNING, FULL_SHARE), NEW, now=LEASE_NS + 1) == NEW  # the others have gone
 
 
 def test_the_share_is_kept_and_goes_to_few_servers() -> None:
     made, draw = rollouts(RUNNING, 100), random.Random(3)
-    seen = [made.allowed("pool", ALL, False, 0, draw) for _ in range(4000)]
+    seen = [made.allowed_servers("pool", ALL, False, 0, draw) for _ in range(4000)]
     new = [servers for servers in seen if servers[0] in NEW]
     assert 300 < len(new) < 500
     assert {len(servers) for servers in new} == {1}
@@ -75,10 +75,10 @@
     seen = set()
     for elapsed_ms in range(0, 600_000, 3_000):
         made = Rollouts()
-        made.confirmed(0)
-        made.follow([RolloutState("pool", "v2", 60_000, RUNNING, 100, 1, elapsed_ms)])
+        made.renew_lease(0)
+        made.apply_states([RolloutState("pool", "v2", 60_000, RUNNING, 100, 1, elapsed_ms)])
         draw = random.Random(1)
-        picked = [made.allowed("pool", ALL, False, 0, draw) for _ in range(100)]
+        picked = [made.allowed_servers("pool", ALL, False, 0, draw) for _ in range(100)]
         seen |= {servers[0].instance_id for servers in picked if servers[0] in NEW}
     assert seen == {server.instance_id for server in NEW}
 
@@ -100,7 +100,7 @@
         (True, "r1", "i-10"): (1, 0, 0),
         (True, "r2", "i-10"): (0, 1, 0),
     }
-    made.follow([RolloutState("pool", "v2", 16_000, FINISHED, WHOLE, 1)])
+    made.apply_states([RolloutState("pool", "v2", 16_000, FINISHED, FULL_SHARE, 1)])
     made.failed(NEW[0], "r2")
     assert made.counts() == ()
 
@@ -129,8 +129,8 @@
     assert made.counts() == ()
     made.failed(NEW[0], "r1")
     assert [(row.good, row.failed) for row in made.counts()] == [(0, 1)]
-    assert made.loads_canary("pool")
-    assert not made.loads_canary("other")
+    assert made.is_canary_loaded("pool")
+    assert not made.is_canary_loaded("other")
 
 
 def test_the_counts_are_bounded() -> None:
--- a/tests/placement/test_servers.py
+++ b/tests/placement/test_servers.py
@@ -19,7 +19,7 @@
 
 def table_with(*entries) -> ServerTable:
     table = ServerTable()
-    table.take_list(entries)
+    table.apply_server_list(entries)
     return table
 
 
@@ -69,7 +69,7 @@
     ready.failed(NOW)
     assert not ready.usable(ready.avoid_until - 1)
     assert ready.usable(ready.avoid_until)
-    assert table.take_list([listed("i-2")]) == [ready]
+    assert table.apply_server_list([listed("i-2")]) == [ready]
     assert not ready.usable(ready.avoid_until)
     assert table.of_service("pool") == [draining]
     assert draining.usable(NOW)
@@ -79,7 +79,7 @@
     table = table_with(listed("i-1", m=2))
     server = table.servers["i-1"]
     server.began(3)
-    table.take_list([listed("i-1", service="other", ready=False, m=1)])
+    table.apply_server_list([listed("i-1", service="other", ready=False, m=1)])
     assert table.servers["i-1"] is server
     assert (server.inflight, server.revisions, server.listed.ready) == (1, {"m": 2}, False)
     assert table.of_service("pool") == []
@@ -93,9 +93,9 @@
     for model, revision, by_list in told:
         before = dict(server.revisions)
         if by_list:
-            table.take_list([listed("i-1", **{model: revision})])
+            table.apply_server_list([listed("i-1", **{model: revision})])
         else:
-            server.saw_revision(model, revision)
+            server.record_revision(model, revision)
         assert server.revisions.get(model, 0) == max(before.get(model, 0), revision)
         assert all(server.revisions.get(name, 0) >= number for name, number in before.items())
 
@@ -103,11 +103,11 @@
 def test_busy_ends_with_a_newer_revision_alone() -> None:
     server = only(listed("i-1", m=2))
     server.mark_busy(True, NOW)
-    server.saw_revision("m", 2)
-    server.saw_revision("m", 1)
+    server.record_revision("m", 2)
+    server.record_revision("m", 1)
     assert server.busy
     assert not server.usable(NOW - 1)
-    server.saw_revision("m", 3)
+    server.record_revision("m", 3)
     assert not server.busy
     assert server.usable(NOW - 1)
 
@@ -133,7 +133,7 @@
     server = only(listed("i-1", m=2))
     server.mark_busy(True, NOW + 1)
     server.rejected(NOW)
-    server.saw_revision("m", 3)
+    server.record_revision("m", 3)
     assert server.usable(NOW)
 
 
@@ -143,7 +143,7 @@
     unread: list[int] = []  # of the requests in flight
 
     def finish_reading(position: int) -> None:
-        server.has_read(unread[position])
+        server.prefill_finished(unread[position])
         unread[position] = 0
 
     for step, number in steps:
@@ -157,5 +157,5 @@
             del unread[number % len(unread)]
             server.ended()
         assert server.inflight == len(unread)
-        assert server.unread_pieces == sum(unread)
+        assert server.pending_chunks == sum(unread)
         assert server.load == len(unread) + sum(unread) >= 0
--- a/tests/prefix_index/test_catalog.py
+++ b/tests/prefix_index/test_catalog.py
@@ -7,7 +7,7 @@
     KeptCatalog,
     changes_of_events,
     changes_of_list,
-    coalesced,
+    coalesce_changes,
 )
 from iristrack.prefix_index.index import PrefixIndex
 from iristrack.prefix_index.kv_events import KeptEvent, KeptPart
@@ -89,7 +89,7 @@
 
 @given(CHANGES, CHANGES)
 def test_fewer_rows_tell_the_same(before, changes) -> None:
-    rows = coalesced(changes)
+    rows = coalesce_changes(changes)
     assert kept([*before, *rows]) == kept([*before, *changes])
     assert len(rows) <= len(changes) + sum(row.reset for row in rows)
     assert len({(row.holder, row.reset, row.salt, row.model) for row in rows}) == len(rows)
--- a/tests/prefix_index/test_index.py
+++ b/tests/prefix_index/test_index.py
@@ -5,7 +5,14 @@
 import pytest
 
 from iristrack.prefix_index.index import PROVISIONAL_NS, Entry, PrefixIndex
-from iristrack.prefix_index.kv_events import START, Cursor, EventsAnswer, KeptEvent, KeptPart, ListAnswer
+from iristrack.prefix_index.kv_events import (
+    START_CURSOR,
+    Cursor,
+    EventsAnswer,
+    KeptEvent,
+    KeptPart,
+    ListAnswer,
+)
 from iristrack.prefix_index.parts import Part
 
 A, B = "10.0.0.1:8080", "10.0.0.2:8080"
@@ -38,7 +45,7 @@
 def test_nothing_is_known_at_first() -> None:
     index = PrefixIndex(10)
     assert kept(index) == 0
-    assert index.cursor(A) == START
+    assert index.cursor(A) == START_CURSOR
     assert index.coverage(SALT, MODEL, PARTS, [A, B]) == {A: 0, B: 0}
     assert index.best_source(SALT, MODEL, PARTS, [A, B], 0) is None
     assert index.entry(A, SALT, MODEL, "aa") is None
@@ -121,7 +128,7 @@
     assert index.cursor(A) == Cursor(1, 1)
     index.apply_list(A, listed(9), 0)
     assert index.cursor(A) == Cursor(1, 9)
-    assert index.cursor(B) == START
+    assert index.cursor(B) == START_CURSOR
 
 
 def test_a_late_answer_changes_nothing() -> None:
@@ -273,7 +280,7 @@
     index.forget("never seen")
     assert kept(index, A) == 0
     assert kept(index, B) == 800
-    assert index.cursor(A) == START
+    assert index.cursor(A) == START_CURSOR
     assert (index.entries, index.holders, index.provisional) == (1, 1, 0)
     index.expire(PROVISIONAL_NS)
     assert kept(index, B) == 800
--- a/tests/prefix_index/test_kv_events.py
+++ b/tests/prefix_index/test_kv_events.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from iristrack.prefix_index.kv_events import (
-    START,
+    START_CURSOR,
     Cursor,
     EventsAnswer,
     KeptEvent,
@@ -116,7 +116,7 @@
 
 
 def test_the_first_answer_sets_the_cursor() -> None:
-    step = advance(START, answer(7, [1, 2], 2))
+    step = advance(START_CURSOR, answer(7, [1, 2], 2))
     assert (step.restarted, step.cursor, numbers(step.events)) == (False, Cursor(7, 2), [1, 2])
 
 
--- a/tests/prefix_index/test_pending_prefills.py
+++ b/tests/prefix_index/test_pending_prefills.py
@@ -5,7 +5,7 @@
 import pytest
 
 from iristrack.prefix_index.parts import Part
-from iristrack.prefix_index.pending_prefills import EXPIRY_NS, Expected, FirstReads, Reader
+from iristrack.prefix_index.pending_prefills import EXPIRY_NS, ExpectedPrefix, PendingPrefills, Reader
 
 A, B = "10.0.0.1:8080", "10.0.0.2:8080"
 SALT, MODEL = "v1", "daka510000"
@@ -15,14 +15,14 @@
 
 
 def test_another_request_with_the_same_shared_parts_finds_the_reader() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     assert reads.reader(SALT, MODEL, PROMPT, 0) is None
     reads.begin(SALT, MODEL, PROMPT, A, 5)
     assert reads.reader(SALT, MODEL, (SYSTEM, DOCUMENT, OTHERS_OWN), 6) == Reader(A, 5)
 
 
 def test_the_longest_shared_beginning_counts() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, (SYSTEM, OWN), A, 1)
     reads.begin(SALT, MODEL, (SYSTEM, DOCUMENT, OWN), B, 2)
     assert reads.reader(SALT, MODEL, (SYSTEM, DOCUMENT, OTHERS_OWN), 3) == Reader(B, 2)
@@ -31,7 +31,7 @@
 
 
 def test_the_last_part_is_nobody_elses() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, (OWN,), A, 0)
     reads.begin(SALT, MODEL, (), A, 0)
     assert len(reads) == 0
@@ -40,21 +40,21 @@
 
 
 def test_a_part_behind_others_is_another_read() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     assert reads.reader(SALT, MODEL, (DOCUMENT, OTHERS_OWN), 0) is None
     assert reads.reader(SALT, MODEL, (DOCUMENT, SYSTEM, OTHERS_OWN), 0) is None
 
 
 def test_another_salt_or_model_never_matches() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     assert reads.reader("v2", MODEL, PROMPT, 0) is None
     assert reads.reader(SALT, "other", PROMPT, 0) is None
 
 
 def test_the_first_reader_stays() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     reads.begin(SALT, MODEL, PROMPT, B, 1)
     reads.begin(SALT, MODEL, PROMPT, A, 2)
@@ -62,7 +62,7 @@
 
 
 def test_only_the_reader_ends_a_read() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     reads.end(SALT, MODEL, PROMPT, B)
     assert reads.reader(SALT, MODEL, PROMPT, 0) == Reader(A, 0)
@@ -73,7 +73,7 @@
 
 
 def test_a_read_without_end_expires() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 10)
     assert reads.reader(SALT, MODEL, PROMPT, 10 + EXPIRY_NS - 1) == Reader(A, 10)
     assert reads.reader(SALT, MODEL, PROMPT, 10 + EXPIRY_NS) is None
@@ -82,7 +82,7 @@
 
 
 def test_a_holder_that_is_gone_reads_nothing() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     reads.begin("v2", MODEL, PROMPT, B, 0)
     reads.forget(A)
@@ -91,7 +91,7 @@
 
 
 def test_the_oldest_reads_are_given_up_when_there_are_too_many() -> None:
-    reads = FirstReads(most_reads=2)
+    reads = PendingPrefills(most_reads=2)
     for number in range(3):
         reads.begin(f"v{number}", MODEL, (SYSTEM, OWN), A, number)
     assert (len(reads), reads.given_up) == (2, 1)
@@ -101,15 +101,15 @@
 
 def test_no_room_at_all_is_refused() -> None:
     with pytest.raises(ValueError):
-        FirstReads(most_reads=0)
+        PendingPrefills(most_reads=0)
 
 
 def test_what_a_reader_will_keep_is_told_by_the_longest_beginning_that_it_reads() -> None:
-    reads = FirstReads()
+    reads = PendingPrefills()
     assert reads.expected(SALT, MODEL, PROMPT, 0) is None
     reads.begin(SALT, MODEL, (SYSTEM, OWN), A, 1)
-    assert reads.expected(SALT, MODEL, (SYSTEM, DOCUMENT, OTHERS_OWN), 2) == Expected(A, 800)
+    assert reads.expected(SALT, MODEL, (SYSTEM, DOCUMENT, OTHERS_OWN), 2) == ExpectedPrefix(A, 800)
     reads.begin(SALT, MODEL, (SYSTEM, DOCUMENT, OWN), B, 2)
-    assert reads.expected(SALT, MODEL, (SYSTEM, DOCUMENT, OTHERS_OWN), 3) == Expected(B, 1210)
+    assert reads.expected(SALT, MODEL, (SYSTEM, DOCUMENT, OTHERS_OWN), 3) == ExpectedPrefix(B, 1210)
     assert reads.expected("v2", MODEL, PROMPT, 3) is None
     assert reads.expected(SALT, MODEL, PROMPT, 3 + EXPIRY_NS) is None
--- a/tests/relay_topics/test_catch_up.py
+++ b/tests/relay_topics/test_catch_up.py
@@ -12,7 +12,7 @@
 
 def test_what_the_hub_pushes_in_time_is_not_asked_for() -> None:
     catch_up = CatchUp()
-    catch_up.heard("x", known(a=1), known(a=2), 0)
+    catch_up.record_versions("x", known(a=1), known(a=2), 0)
     assert catch_up.next_due() == WAIT_NS
     assert catch_up.take_due(known(a=1), WAIT_NS - 1) == set()
     assert catch_up.take_due(known(a=2), WAIT_NS) == set()
@@ -21,9 +21,9 @@
 
 def test_what_it_does_not_push_is_asked_for_where_it_was_heard_of_and_after_a_while_again() -> None:
     catch_up = CatchUp()
-    catch_up.heard("x", known(a=1), known(a=2), 0)
+    catch_up.record_versions("x", known(a=1), known(a=2), 0)
     assert catch_up.take_due(known(a=1), WAIT_NS) == {"x"}
-    catch_up.heard("x", known(a=1), known(a=2), WAIT_NS + 1)
+    catch_up.record_versions("x", known(a=1), known(a=2), WAIT_NS + 1)
     assert catch_up.next_due() == WAIT_NS + AGAIN_NS
     assert catch_up.take_due(known(a=1), WAIT_NS + AGAIN_NS - 1) == set()
     assert catch_up.take_due(known(a=1), WAIT_NS + AGAIN_NS) == {"x"}
@@ -31,8 +31,8 @@
 
 def test_a_member_that_does_not_send_it_is_followed_by_the_next_soon() -> None:
     catch_up = CatchUp()
-    catch_up.heard("x", known(a=1), known(a=2), 0)
-    catch_up.heard("y", known(a=1), known(a=2), 1)
+    catch_up.record_versions("x", known(a=1), known(a=2), 0)
+    catch_up.record_versions("y", known(a=1), known(a=2), 1)
     first = catch_up.take_due(known(a=1), WAIT_NS)
     assert catch_up.next_due() == WAIT_NS + NEXT_NS
     second = catch_up.take_due(known(a=1), WAIT_NS + NEXT_NS)
@@ -43,19 +43,19 @@
 
 def test_a_topic_that_was_asked_for_does_not_hold_up_another() -> None:
     catch_up = CatchUp()
-    catch_up.heard("x", known(a=1, b=1), known(a=2, b=1), 0)
+    catch_up.record_versions("x", known(a=1, b=1), known(a=2, b=1), 0)
     assert catch_up.take_due(known(a=1, b=1), WAIT_NS) == {"x"}
-    catch_up.heard("x", known(a=1, b=1), known(b=2), WAIT_NS)
+    catch_up.record_versions("x", known(a=1, b=1), known(b=2), WAIT_NS)
     assert catch_up.take_due(known(a=1, b=1), 2 * WAIT_NS) == {"x"}
 
 
 def test_a_member_whose_connection_ended_is_asked_no_more() -> None:
     catch_up = CatchUp()
-    catch_up.heard("x", known(a=1), known(a=2), 0)
-    catch_up.heard("y", known(a=1), known(a=2), 0)
-    catch_up.lost("x")
+    catch_up.record_versions("x", known(a=1), known(a=2), 0)
+    catch_up.record_versions("y", known(a=1), known(a=2), 0)
+    catch_up.source_lost("x")
     assert catch_up.take_due(known(a=1), WAIT_NS) == {"y"}
-    catch_up.lost("y")
+    catch_up.source_lost("y")
     assert catch_up.next_due() is None
 
 
@@ -64,21 +64,21 @@
     catch_up = CatchUp()
     step = WAIT_NS // 8
     for number in range(8):
-        catch_up.heard("x", known(a=1), known(a=2 + number), number * step)
+        catch_up.record_versions("x", known(a=1), known(a=2 + number), number * step)
     assert catch_up.take_due(known(a=1), WAIT_NS) == {"x"}
 
 
 def test_a_value_that_has_come_begins_the_wait_anew_for_the_next() -> None:
     catch_up = CatchUp()
-    catch_up.heard("x", known(a=1), known(a=2), 0)
-    catch_up.heard("x", known(a=2), known(a=3), WAIT_NS)
+    catch_up.record_versions("x", known(a=1), known(a=2), 0)
+    catch_up.record_versions("x", known(a=2), known(a=3), WAIT_NS)
     assert catch_up.take_due(known(a=2), 2 * WAIT_NS - 1) == set()
     assert catch_up.take_due(known(a=2), 2 * WAIT_NS) == {"x"}
 
 
 def test_nothing_newer_is_nothing_missing() -> None:
     catch_up = CatchUp()
-    catch_up.heard("x", known(a=2, b=1), known(a=2, b=0), 0)
+    catch_up.record_versions("x", known(a=2, b=1), known(a=2, b=0), 0)
     assert catch_up.next_due() is None
 
 
@@ -86,11 +86,11 @@
     catch_up = CatchUp()
     for source in range(MOST_SOURCES + 5):
         told = tuple(Version(str(n), 1) for n in range(MOST_TOPICS + 5))
-        catch_up.heard(source, (), told, 0)
+        catch_up.record_versions(source, (), told, 0)
     asked = set()
     for round_number in range(MOST_SOURCES + 5):
         asked |= catch_up.take_due((), WAIT_NS + round_number * AGAIN_NS)
     assert len(asked) == MOST_SOURCES
     here = tuple(Version(str(n), 1) for n in range(MOST_TOPICS))
-    catch_up.heard("x", here, (), 1)
+    catch_up.record_versions("x", here, (), 1)
     assert catch_up.next_due() is None
--- a/tests/simulation/test_control.py
+++ b/tests/simulation/test_control.py
@@ -144,7 +144,7 @@
 PLANTED = {
     "1 nobody asks for what the hub does not push": (
         SCENARIOS["cut_off"],
-        [(CatchUp, "heard", hear_nothing), (CoreView, "choose_hub", keep_first_hub)],
+        [(CatchUp, "record_versions", hear_nothing), (CoreView, "choose_hub", keep_first_hub)],
     ),
     "1 a restarted sidecar believes the first that speaks": (
         RESTARTED_BESIDE_THE_MINORITY,
@@ -180,7 +180,7 @@
     ),
     "weights: the allowance counts from hearing": (
         SCENARIOS["weights"],
-        [(NamedWeights, "heard_ages", hear_no_ages)],
+        [(NamedWeights, "learn_ages", hear_no_ages)],
     ),
     "4 a disk that refused once is never tried again": (
         SCENARIOS["bad_disks"],
