--- a/iristrack/prefix_index/catalog.py
+++ b/iristrack/prefix_index/catalog.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from iristrack.prefix_index.answers import KeptEvent, KeptPart
+from iristrack.prefix_index.kv_events import KeptEvent, KeptPart
 from iristrack.wire.messages import KeptParts, PartTokens
 
 MOST_ENTRIES = 500_000
@@ -80,7 +80,7 @@
     return [KeptParts(holder, True, "", ""), *_grouped(holder, rows)]
 
 
-def coalesced(changes: Iterable[KeptParts]) -> list[KeptParts]:
+def coalesce_changes(changes: Iterable[KeptParts]) -> list[KeptParts]:
     """The same changes in fewer rows: one for each holder, salt and model, with the newest word on each part."""
     holders: dict[str, _Pending] = {}
     for change in changes:
