--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -22,14 +22,14 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from iristrack.store.store import Store  # noqa: E402
+from iristrack.store.state_store import StateStore  # noqa: E402
 
 MOST_WAIT_S = 0.08  # a writer lives so long at most once it has begun
 
 
 def write(folder: str) -> None:
     """The writer: state n is a checkpoint of n and n derived numbers, or a change that says n."""
-    store = Store(folder, "kills", lambda text: print(text, file=sys.stderr))
+    store = StateStore(folder, "kills", lambda text: print(text, file=sys.stderr))
     found = store.open()
     n = last(found.records + found.changes)
     out = sys.stdout.fileno()
@@ -71,7 +71,7 @@
             told = (first + process.stdout.read()).split(b"\n")[:-1]
             process.wait()
             safe = max([safe, *map(int, told)])
-            store = Store(folder, "kills", print)
+            store = StateStore(folder, "kills", print)
             found = store.open()
             store.close()
             n = last(found.records + found.changes)
--- a/iristrack/__main__.py
+++ b/iristrack/__main__.py
@@ -55,13 +55,13 @@
     keeper = learned = None
     if config.state:
         try:
-            from iristrack.store.keeper import Keeper
+            from iristrack.store.sidecar_state import SidecarState
         except ModuleNotFoundError as fault:
             print(
                 f"iristrack: state needs {fault.name}: pip install -r requirements-state.txt", file=sys.stderr
             )
             return 2
-        keeper = Keeper(config.state, config.name, logger.warning, logger.info)
+        keeper = SidecarState(config.state, config.name, logger.warning, logger.info)
         learned = keeper.start(config.settings)
     sidecar = Sidecar(scheduler, config, learned)
     sidecar.trace = trace
@@ -90,7 +90,7 @@
         return 1
     logger.info("{} listens on {}:{}", config.name, *config.listen)
     if keeper is not None:
-        keeper.follow(scheduler, sidecar.balancer, clock)
+        keeper.schedule_snapshots(scheduler, sidecar.balancer, clock)
     scheduler.run()
     if keeper is not None:
         keeper.stop(sidecar.balancer, clock())
--- a/iristrack/cli/controlplane.py
+++ b/iristrack/cli/controlplane.py
@@ -38,7 +38,7 @@
         settings_or_exit,
     )
     from iristrack.controlplane.program import ControlPlane
-    from iristrack.store.cells import CellsError
+    from iristrack.store.acceptor_store import AcceptorStoreError
 
     settings = settings_or_exit("controlplane")
     log = configure_log(settings)
@@ -48,7 +48,7 @@
     try:
         program = ControlPlane(settings, log, lambda: reload_settings(log))
         program.start()
-    except CellsError as fault:
+    except AcceptorStoreError as fault:
         print(f"iristrack: {settings.data_dir}: {fault}", file=sys.stderr)
         return EXIT_BAD_SETTINGS
     except OSError as fault:
--- a/iristrack/cli/state.py
+++ b/iristrack/cli/state.py
@@ -32,7 +32,7 @@
 def main(chosen: argparse.Namespace) -> int:
     """Run it; the exit status."""
     try:
-        from iristrack.store.store import Busy
+        from iristrack.store.state_store import StateFolderBusy
     except ModuleNotFoundError as fault:
         print(f"iristrack: state needs {fault.name}: pip install -r requirements-state.txt", file=sys.stderr)
         return 2
@@ -48,7 +48,7 @@
     }
     try:
         return calls[chosen.state](chosen)
-    except Busy as fault:
+    except StateFolderBusy as fault:
         print(f"iristrack: {fault}", file=sys.stderr)
         return 3
 
@@ -59,27 +59,27 @@
 
 def _files(folder: Path) -> list[tuple[Path, object]]:
     """Each state file of a folder, read; nothing is locked, moved or removed."""
-    from iristrack.store import format as fmt
-    from iristrack.store.store import NAME
+    from iristrack.store import state_format as fmt
+    from iristrack.store.state_store import FILE_NAME_PATTERN
 
     found = []
     for path in sorted(folder.iterdir(), key=lambda p: (p.suffix.lstrip(".").zfill(20), p.name)):
-        if NAME.match(path.name) or path.name.startswith("newer."):
+        if FILE_NAME_PATTERN.match(path.name) or path.name.startswith("newer."):
             with path.open("rb") as file:
-                found.append((path, fmt.read(file.read(fmt.MOST_FILE + 1))))
+                found.append((path, fmt.read(file.read(fmt.MAX_FILE_BYTES + 1))))
     return found
 
 
 def _load(folder: Path) -> tuple[dict, dict, bool] | None:
     """The newest usable snapshot, its meta, and whether all that was written is in it."""
     from iristrack.recovery.pack import unpack
-    from iristrack.store.format import Verdict
+    from iristrack.store.state_format import Verdict
 
     read = {path.name: result for path, result in _files(folder)}
     generations = sorted((int(n.split(".")[1]) for n in read if n.startswith("checkpoint.")), reverse=True)
     for newest in generations:
         checkpoint = read[f"checkpoint.{newest}"]
-        if checkpoint.verdict is not Verdict.WHOLE:
+        if checkpoint.verdict is not Verdict.COMPLETE:
             _complain(f"checkpoint.{newest}: {checkpoint.why}; it ends at byte {checkpoint.end}")
             continue
         journal = read.get(f"journal.{newest}")
@@ -124,7 +124,7 @@
 
 
 def _verify(chosen: argparse.Namespace) -> int:
-    from iristrack.store.format import Verdict
+    from iristrack.store.state_format import Verdict
 
     files = _files(chosen.folder)
     if not files:
@@ -133,7 +133,7 @@
     damaged = 0
     for path, read in files:
         open_end = path.name.startswith("journal.") and "without its end record" in read.why
-        good = read.verdict is Verdict.WHOLE or open_end
+        good = read.verdict is Verdict.COMPLETE or open_end
         damaged += not good and read.verdict is not Verdict.NEWER
         told = "sound" if good else f"{read.verdict.value}: {read.why}"
         size = path.stat().st_size
@@ -177,9 +177,9 @@
 
 def _write(folder: Path, records: list) -> int:
     from iristrack import __version__
-    from iristrack.store.store import Store
+    from iristrack.store.state_store import StateStore
 
-    store = Store(str(folder), __version__, _complain)
+    store = StateStore(str(folder), __version__, _complain)
     store.open()
     done = store.checkpoint(records)
     store.close()
--- a/iristrack/cli/system_sources.py
+++ b/iristrack/cli/system_sources.py
@@ -17,10 +17,10 @@
 from iristrack.controlplane.register_host import MEMBERS_BLOB
 from iristrack.controlplane.status import MemberStatus, SystemStatus, TopicStatus
 from iristrack.engines.rollouts import WHOLE
-from iristrack.register import Acceptor, Cell
+from iristrack.register import Acceptor, RegisterState
 from iristrack.relay import topics
-from iristrack.store.cells import CellsError
-from iristrack.store.cells_reader import SeenCells, read_cells
+from iristrack.store.acceptor_reader import AcceptorStoreView, read_acceptor_store
+from iristrack.store.acceptor_store import AcceptorStoreError
 from iristrack.wire.messages import ConfigurationValue, DutyValue, MembersValue, RolloutsValue, VersionsValue
 from iristrack.wire.values import decode_value
 
@@ -198,30 +198,30 @@
             return None
         return RolloutStatus(service, state.version, state.phase, state.share / WHOLE)
 
-    def _read(self) -> SeenCells:
+    def _read(self) -> AcceptorStoreView:
         try:
-            return read_cells(str(self.folder))
-        except (CellsError, OSError) as fault:
+            return read_acceptor_store(str(self.folder))
+        except (AcceptorStoreError, OSError) as fault:
             problem = f"{self.folder}: {fault.strerror}" if isinstance(fault, OSError) else str(fault)
             raise CommandFailed(problem, self.unreadable) from fault
 
     @staticmethod
-    def _value(seen: SeenCells, key: str):
-        cell = seen.cells.get(key)
+    def _value(seen: AcceptorStoreView, key: str):
+        cell = seen.registers.get(key)
         return None if cell is None else decode_value(cell.value, VALUE_TYPES[key])
 
     @staticmethod
-    def _members(seen: SeenCells, agreed: MembersValue | None) -> tuple[MemberStatus, ...]:
+    def _members(seen: AcceptorStoreView, agreed: MembersValue | None) -> tuple[MemberStatus, ...]:
         kept = decode_value(seen.blobs.get(MEMBERS_BLOB, b""), MembersValue)
         newest = max(filter(None, (kept, agreed)), key=lambda value: value.sequence, default=None)
         return () if newest is None else tuple(map(MemberStatus, sorted(newest.members)))
 
 
-def _incarnation(seen: SeenCells) -> str:
+def _incarnation(seen: AcceptorStoreView) -> str:
     """As the acceptor would tell it."""
     if seen.identity is None:
         return ""
-    cells = {key: Cell(r.promised, r.accepted, r.value) for key, r in seen.cells.items()}
+    cells = {key: RegisterState(r.promised, r.accepted, r.value) for key, r in seen.registers.items()}
     return Acceptor(
         seen.identity.node, seen.identity.incarnation, cells, True, keys=topics.REGISTERS
     ).incarnation
--- a/iristrack/configuration/amendment.py
+++ b/iristrack/configuration/amendment.py
@@ -25,7 +25,7 @@
     decode_object,
     service_findings,
 )
-from iristrack.configuration.model import MOST_REVISION, Configuration, Tenant
+from iristrack.configuration.model import MAX_REVISION, Configuration, Tenant
 from iristrack.configuration.rows import Row, route_findings, tenant_findings
 from iristrack.result import Error, Ok, Result
 
@@ -168,8 +168,8 @@
 
 def _findings(document: Document) -> Iterator[Finding]:
     revision = document.get("revision")
-    if type(revision) is not int or revision > MOST_REVISION:
-        problem = f"is no whole number up to {MOST_REVISION}"
+    if type(revision) is not int or revision > MAX_REVISION:
+        problem = f"is no whole number up to {MAX_REVISION}"
         yield Finding("revision", problem, "give the number of the new configuration")
     for name in WHOLE_ONLY:
         if name in document:
--- a/iristrack/configuration/document.py
+++ b/iristrack/configuration/document.py
@@ -9,7 +9,7 @@
 
 from iristrack.configuration.building import build_configuration, parse_configuration
 from iristrack.configuration.findings import WHOLE_DOCUMENT, Finding
-from iristrack.configuration.model import MOST_REVISION, Configuration
+from iristrack.configuration.model import MAX_REVISION, Configuration
 from iristrack.configuration.routes import normalise_host
 from iristrack.configuration.rows import Row, route_findings, tenant_findings
 from iristrack.configuration.schema_check import schema_findings
@@ -51,7 +51,7 @@
     "idle_timeout_ms": _COUNT,
 }
 _OUTLINE = {
-    "revision": {"type": "whole", "required": True, "max": MOST_REVISION},
+    "revision": {"type": "whole", "required": True, "max": MAX_REVISION},
     "route_table": {"type": "list", "required": True},
     "services": {"type": "list", "required": True, "schema": {"type": "dict", "schema": _SERVICE}},
     "limits": {"type": "dict", "schema": _LIMITS},
--- a/iristrack/configuration/key_lease.py
+++ b/iristrack/configuration/key_lease.py
@@ -31,7 +31,7 @@
     def __init__(self, duration_ms: float | None) -> None:
         """`duration_ms` after a removal was acknowledged its key is honoured by nobody; None: no lease is needed."""
         self._duration_ns = 0
-        self.follow(duration_ms)
+        self.set_duration(duration_ms)
         self._sequence = -1  # of the configuration in force
         self._good_since: int | None = None  # when the request was sent that the lease rests on
         self._waiting: _Grant | None = None  # for the configuration that it names
@@ -39,28 +39,28 @@
         self._count = 0
         self._asked_last: int | None = None
 
-    def follow(self, duration_ms: float | None) -> None:
+    def set_duration(self, duration_ms: float | None) -> None:
         """Go by another duration from now on."""
         self.needed = duration_ms is not None
         if duration_ms is not None:
             self._duration_ns = int(duration_ms * (1 - CLOCK_MARGIN)) * NS_PER_MS
 
-    def holds(self, now: int) -> bool:
+    def is_valid(self, now: int) -> bool:
         """May requests be sent to servers on the word of the keys in force?"""
-        return not self.needed or self.left_ns(now) > 0
+        return not self.needed or self.remaining_ns(now) > 0
 
-    def left_ns(self, now: int) -> int:
+    def remaining_ns(self, now: int) -> int:
         """For how much longer the lease holds; 0 where it does not."""
         if self._good_since is None:
             return 0
         return max(0, self._good_since + self._duration_ns - now)
 
     @property
-    def has_unanswered(self) -> bool:
+    def has_pending_request(self) -> bool:
         """Is there a request without an answer?"""
         return bool(self._asked)
 
-    def wants_request(self, now: int) -> bool:
+    def should_request(self, now: int) -> bool:
         """Is it time to ask for the lease, or for the next one?"""
         if not self.needed:
             return False
@@ -68,7 +68,7 @@
             return False
         return self._good_since is None or now - self._good_since >= self._duration_ns * RENEW_SHARE
 
-    def asks(self, now: int) -> int:
+    def record_request(self, now: int) -> int:
         """The number of a request that is sent now."""
         self._count += 1
         self._asked_last = now
@@ -77,7 +77,7 @@
             del self._asked[next(iter(self._asked))]
         return self._count
 
-    def granted(self, number: int, sequence: int) -> None:
+    def handle_grant(self, number: int, sequence: int) -> None:
         """As request `number` was sent, no configuration newer than `sequence` had been acknowledged."""
         asked_at = self._asked.get(number)
         if asked_at is None:
@@ -87,7 +87,7 @@
             self._waiting = _Grant(asked_at, sequence)
         self._take_grant()
 
-    def in_force(self, sequence: int) -> None:
+    def set_applied_sequence(self, sequence: int) -> None:
         """This configuration is in force here."""
         self._sequence = sequence
         self._take_grant()
--- a/iristrack/configuration/model.py
+++ b/iristrack/configuration/model.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_REVISION = (1 << 63) - 1  # what a whole number on the wire between own processes holds
+MAX_REVISION = (1 << 63) - 1  # what a whole number on the wire between own processes holds
 DEFAULT_PRIORITY = 5
 DEFAULT_MAX_TRIES = 1
 DEFAULT_HEALTH_PATH = "/health"
--- a/iristrack/controlplane/deciders.py
+++ b/iristrack/controlplane/deciders.py
@@ -12,18 +12,18 @@
 from iristrack.register import (
     Effect,
     Finished,
-    Pace,
     Proposer,
     ProposerResult,
     Recovered,
     Recovery,
+    RetryPolicy,
     SendTo,
     SetTimer,
 )
 from iristrack.runtime.scheduler import Scheduler, Task, Timer
 from iristrack.wire.messages import Accept, Accepted, MembersValue, Prepare, Promise
 
-LEAST_ATTEMPT_NS = Pace().attempt_timeout_ns
+LEAST_ATTEMPT_NS = RetryPolicy().attempt_timeout_ns
 SLOWEST_NS_PER_BYTE = 250  # a value is given so much more time for its length: 7 MiB get 1.8 s,
 SLOWEST_MOVING_NS_PER_BYTE = (
     1600  # and so much as long as bytes move between the members, which is one at 5 Mbit/s
--- a/iristrack/controlplane/environment.py
+++ b/iristrack/controlplane/environment.py
@@ -13,7 +13,7 @@
 from iristrack.http1 import messages as http
 from iristrack.http1.serving import HttpServer, Response
 from iristrack.runtime.scheduler import Scheduler
-from iristrack.store.cells import OpenedCells, open_cells
+from iristrack.store.acceptor_store import OpenedAcceptorStore, open_acceptor_store
 from iristrack.store.sync_thread import OnDone, SyncThread
 from iristrack.wire.connection import PeerConnection, PeerListener
 from iristrack.wire.dialing import OpenConnection, open_connection
@@ -42,10 +42,10 @@
     scheduler: Scheduler
     rng: random.Random  # names of processes and incarnations, and waits, are drawn from it
 
-    def open_cells(self, folder: str, node: str) -> OpenedCells:
-        """What the disk holds; raises `store.cells.CellsError` or `OSError`."""
+    def open_acceptor_store(self, folder: str, node: str) -> OpenedAcceptorStore:
+        """What the disk holds; raises `store.acceptor_store.AcceptorStoreError` or `OSError`."""
 
-    def make_sync(self, opened: OpenedCells, on_failure: Callable[[Exception], None]) -> Sync:
+    def make_sync(self, opened: OpenedAcceptorStore, on_failure: Callable[[Exception], None]) -> Sync:
         """The writer of the disk that was opened."""
 
     def open_connection(
@@ -72,11 +72,11 @@
         self.scheduler = Scheduler(report_failure)
         self.rng = random.SystemRandom()
 
-    def open_cells(self, folder: str, node: str) -> OpenedCells:
+    def open_acceptor_store(self, folder: str, node: str) -> OpenedAcceptorStore:
         """The folder's records."""
-        return open_cells(folder, node)
+        return open_acceptor_store(folder, node)
 
-    def make_sync(self, opened: OpenedCells, on_failure: Callable[[Exception], None]) -> SyncThread:
+    def make_sync(self, opened: OpenedAcceptorStore, on_failure: Callable[[Exception], None]) -> SyncThread:
         """A thread that writes to the folder."""
         return SyncThread(opened.store, self.scheduler, on_failure)
 
--- a/iristrack/controlplane/key_leases.py
+++ b/iristrack/controlplane/key_leases.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from iristrack.controlplane.register_host import RegisterHost
-from iristrack.register.newest_read import NewestRead
+from iristrack.register.newest_read import NewestSequenceRead
 from iristrack.runtime.scheduler import Timer
 from iristrack.wire.connection import PeerConnection
 from iristrack.wire.messages import KeyLeaseGrant, KeyLeaseRequest, Message, NewestAnswer, NewestQuery
@@ -29,7 +29,7 @@
         self.send = send
         self._waiting: dict[PeerConnection, int] = {}  # the newest request of each connection
         self._asking: dict[PeerConnection, int] = {}  # whose answer the question under way will be
-        self._read: NewestRead | None = None
+        self._read: NewestSequenceRead | None = None
         self._timer: Timer | None = None
         self._call = 0
 
@@ -52,7 +52,7 @@
         """A member answered."""
         if self._read is None:
             return
-        sequence = self._read.answered(answer)
+        sequence = self._read.handle_answer(answer)
         if sequence is None:
             return
         for connection, number in self._asking.items():
@@ -69,7 +69,7 @@
             self._asking = {}
             return
         self._call += 1
-        self._read = NewestRead(self._call, members)
+        self._read = NewestSequenceRead(self._call, members)
         query = self._read.query
         self._set_timer(READ_NS, self._end)
         for member in members.members:
--- a/iristrack/controlplane/member_changes.py
+++ b/iristrack/controlplane/member_changes.py
@@ -1,6 +1,6 @@
 """Changes of the member set once it is founded: machines that take a place, and the end of their joining.
 
-Each member looks whether the set should change (`register/succession.py`). The first of those that are connected
+Each member looks whether the set should change (`register/membership_policy.py`). The first of those that are connected
 proposes it, and where that one does not (it is slow, frozen, or cut off in a way that the others cannot see), the next
 one `TURN_NS` later: the proposals are compare-and-sets, of which one prevails. A machine that was let in recovers,
 votes, and has the set settled itself.
@@ -26,8 +26,8 @@
     replaced,
     settled,
 )
-from iristrack.register.member_set import FEWEST_MEMBERS
-from iristrack.register.succession import ADDED_NS, LATE_FOUNDER_NS, Succession
+from iristrack.register.member_set import MIN_MEMBERS
+from iristrack.register.membership_policy import ADDITION_DELAY_NS, LATE_FOUNDER_DELAY_NS, MembershipPolicy
 from iristrack.relay import topics
 from iristrack.runtime.scheduler import Scheduler
 from iristrack.wire.messages import MembersValue
@@ -54,7 +54,7 @@
         publish: Callable[[MembersValue], None],
         log,
         first_start: bool = False,
-        fewest: int = FEWEST_MEMBERS,
+        fewest: int = MIN_MEMBERS,
     ) -> None:
         """`connected` names the members in touch, this one among them; `reporting` all core machines, with their disks.
 
@@ -70,7 +70,7 @@
         self.reporting = reporting
         self.publish = publish
         self.log = log
-        self._succession = Succession(fewest)
+        self._succession = MembershipPolicy(fewest)
         self._wanted_since: int | None = None  # ns, since when the set should change
         self._shrinking_since: int | None = None  # ns, since when a member is known to be taken out
         self._leaving = False
@@ -89,7 +89,7 @@
             self.scheduler.sleep(TICK_NS)
             members = self.register.member_set
             if not self.register.founded or not self.register.voting:
-                self._succession = Succession(self._fewest)
+                self._succession = MembershipPolicy(self._fewest)
                 self._wanted_since = self._shrinking_since = None
             elif members.joining == self.register.name:
                 self._propose(members, settled(members))
@@ -115,9 +115,9 @@
         connected = sorted(self.connected())
         now = self.scheduler.now()
         try:
-            added_ns = LATE_FOUNDER_NS if now < self._founding_until else ADDED_NS
+            added_ns = LATE_FOUNDER_DELAY_NS if now < self._founding_until else ADDITION_DELAY_NS
             reporting = self.reporting()
-            proposed = self._succession.next_set(members, connected, reporting, now, added_ns)
+            proposed = self._succession.next_member_set(members, connected, reporting, now, added_ns)
         except MemberSetError as fault:
             self.log.warning("no change of members", reason=str(fault))
             return
--- a/iristrack/controlplane/operator_api.py
+++ b/iristrack/controlplane/operator_api.py
@@ -11,7 +11,7 @@
 from iristrack.configuration.amendment import Amendment, read_amendment
 from iristrack.configuration.building import parse_services
 from iristrack.configuration.document import Finding, read_configuration
-from iristrack.configuration.model import MOST_REVISION, Configuration
+from iristrack.configuration.model import MAX_REVISION, Configuration
 from iristrack.controlplane import changes
 from iristrack.controlplane.deciders import transfer_ns
 from iristrack.controlplane.register_host import RegisterHost
@@ -28,7 +28,7 @@
 CALL_NS = 900 * NS_PER_MS  # callers move on after a second of silence
 MOST_BODY = 7 << 20  # with what stands around it, a record of the register holds 8 MiB at most
 RETRY_AFTER = b"Content-Type: application/json\r\nRetry-After: 0.3\r\n"
-MOST_REVISION_DIGITS = len(str(MOST_REVISION))
+MOST_REVISION_DIGITS = len(str(MAX_REVISION))
 BASE_HEADER = b"x-iristrack-base-version"
 MOST_NAME = 200  # characters
 LONGEST_ROLLOUT_S = 86_400
@@ -165,7 +165,7 @@
 
 def _base_version(message: http.Message) -> int | None:
     told = message.head.fields.get(BASE_HEADER, b"")
-    if not told.isdigit() or len(told) > MOST_REVISION_DIGITS or int(told) > MOST_REVISION:
+    if not told.isdigit() or len(told) > MOST_REVISION_DIGITS or int(told) > MAX_REVISION:
         return None
     return int(told)
 
--- a/iristrack/controlplane/program.py
+++ b/iristrack/controlplane/program.py
@@ -27,7 +27,7 @@
 from iristrack.controlplane.status import PeerBook, status_document
 from iristrack.controlplane.weights import WeightsDuty
 from iristrack.engines.named_weights import NamedWeights
-from iristrack.register import Committed, RecoveryPace
+from iristrack.register import Committed, RecoveryRetryPolicy
 from iristrack.relay import topics
 from iristrack.settings import Settings
 from iristrack.wire.connection import PeerConnection
@@ -100,7 +100,7 @@
         reload_settings: Callable[[], Settings | None],
         environment: Environment | None = None,
     ) -> None:
-        """Opens the disk; raises `store.cells.CellsError` or `OSError` where it cannot be used."""
+        """Opens the disk; raises `store.acceptor_store.AcceptorStoreError` or `OSError` where it cannot be used."""
         self.environment = environment or SystemEnvironment(lambda text: log.exception(text))
         self.settings = settings
         self.log = log
@@ -108,7 +108,7 @@
         self.scheduler = self.environment.scheduler
         self.process = f"{self.environment.rng.getrandbits(PROCESS_BITS):012x}"
         self.address = f"{settings.ip}:{settings.port_range.first}"
-        opened = self.environment.open_cells(settings.data_dir, settings.node_name)
+        opened = self.environment.open_acceptor_store(settings.data_dir, settings.node_name)
         for note in opened.notes:
             log.warning("disk", note=note)
         self.sync = self.environment.make_sync(opened, self._disk_failed)
@@ -130,7 +130,7 @@
             log,
             self.environment.rng,
             self.dialers.moved_bytes,
-            RecoveryPace.within(int(settings.rule_bounds.catch_up_s * NS_PER_S)),
+            RecoveryRetryPolicy.for_catch_up(int(settings.rule_bounds.catch_up_s * NS_PER_S)),
         )
         self.quorum = QuorumContact(self.register, self.dialers)
         self.distribution = Distribution(self.dialers.broadcast, self._announcement)
@@ -431,7 +431,7 @@
     def _is_unlearned(self, key: str) -> bool:
         if not self.register.voting:
             return False
-        cell = self.register.acceptor.cell(key)
+        cell = self.register.acceptor.state(key)
         if not cell.value:
             return key not in self._learned
         update = self.distribution.topics.get(topics.topic_of(key))
--- a/iristrack/controlplane/register_host.py
+++ b/iristrack/controlplane/register_host.py
@@ -18,24 +18,24 @@
 )
 from iristrack.register import (
     Acceptor,
-    Cell,
-    CellRecord,
     Change,
     Committed,
-    Pace,
     Proposer,
     ProposerIdentity,
     ProposerResult,
     Recovered,
     Recovery,
-    RecoveryPace,
+    RecoveryRetryPolicy,
+    RegisterRecord,
+    RegisterState,
+    RetryPolicy,
     Unavailable,
     Unchanged,
 )
-from iristrack.register.acceptor import EMPTY_CELL, Outcome
+from iristrack.register.acceptor import EMPTY_STATE, Outcome
 from iristrack.relay import topics
 from iristrack.runtime.scheduler import Scheduler
-from iristrack.store.cells import BlobRecord, IdentityRecord, OpenedCells
+from iristrack.store.acceptor_store import BlobRecord, IdentityRecord, OpenedAcceptorStore
 from iristrack.store.sync_thread import SyncThread
 from iristrack.wire.messages import (
     FOUNDED,
@@ -72,14 +72,14 @@
         self,
         scheduler: Scheduler,
         name: str,
-        opened: OpenedCells,
+        opened: OpenedAcceptorStore,
         sync: SyncThread,
         send: SendToMember,
         keys: tuple[str, ...],
         log,
         rng: random.Random | None = None,
         moved_bytes: Callable[[], int] = lambda: 0,
-        recovery_pace: RecoveryPace | None = None,
+        recovery_pace: RecoveryRetryPolicy | None = None,
     ) -> None:
         """`name` is this process's inner address, by which the member set names it.
 
@@ -107,9 +107,13 @@
         )
         self._when_voting_again: Callable[[], None] = lambda: None  # once the disk takes records again
         self._accepted_sequence = (NO_BALLOT, 0)  # of the configuration: its ballot and sequence
-        self._on_disk: dict[str, Cell] = {}  # the cells as they are on the disk, of a voting acceptor
+        self._on_disk: dict[
+            str, RegisterState
+        ] = {}  # the cells as they are on the disk, of a voting acceptor
         if self.member_set.members and opened.identity is not None and opened.identity.incarnation:
-            cells = {key: Cell(r.promised, r.accepted, r.value) for key, r in opened.cells.items()}
+            cells = {
+                key: RegisterState(r.promised, r.accepted, r.value) for key, r in opened.registers.items()
+            }
             self.acceptor = self._make_acceptor(opened.identity.incarnation, cells)
         self.disk = opened.blobs.get(DISK_BLOB, b"").decode() or self._name_disk()
 
@@ -124,7 +128,7 @@
             self.sync.submit(records, lambda ok: None)
         return name
 
-    def _make_acceptor(self, incarnation: str, cells: dict[str, Cell]) -> Acceptor:
+    def _make_acceptor(self, incarnation: str, cells: dict[str, RegisterState]) -> Acceptor:
         self._on_disk = dict(cells)
         self._disk_incarnation = incarnation
         sequence = self.member_set.sequence
@@ -162,7 +166,7 @@
 
     def value_size(self, key: str) -> int:
         """How long the value is that this process's acceptor holds of a register (bytes)."""
-        return 0 if self.acceptor is None else len(self.acceptor.cell(key).value)
+        return 0 if self.acceptor is None else len(self.acceptor.state(key).value)
 
     def accepted_configuration(self, member_sequence: int) -> int | None:
         """The sequence of the configuration that this process has accepted, 0 before the first one.
@@ -322,7 +326,7 @@
         self,
         members: MembersValue,
         incarnation: str,
-        records: tuple[CellRecord, ...],
+        records: tuple[RegisterRecord, ...],
         on_done: Callable[[], None],
     ) -> None:
         self._forming = True
@@ -344,7 +348,7 @@
                 self.log.info("voting", incarnation=incarnation, members=",".join(members.members))
                 on_done()
 
-        cells = {r.key: Cell(r.promised, r.accepted, r.value) for r in records}
+        cells = {r.key: RegisterState(r.promised, r.accepted, r.value) for r in records}
         # The identity is the last: after a loss of power while this is written it must not stand without the cells.
         self.sync.submit([blob, *records, identity], written)
 
@@ -352,7 +356,7 @@
         self,
         members: MembersValue,
         incarnation: str,
-        records: tuple[CellRecord, ...],
+        records: tuple[RegisterRecord, ...],
         on_done: Callable[[], None],
     ) -> None:
         """The disk refused the first records a while ago."""
@@ -405,19 +409,21 @@
                 return
             if outcome.record is not None:
                 record = outcome.record
-                self._on_disk[record.key] = Cell(record.promised, record.accepted, record.value)
+                self._on_disk[record.key] = RegisterState(record.promised, record.accepted, record.value)
             reply(outcome.reply)
 
         self.sync.submit(records, written)
 
     # ---- changes
 
-    def change(self, key: str, change: Change, deadline: int, pace: Pace | None = None) -> ProposerResult:
+    def change(
+        self, key: str, change: Change, deadline: int, pace: RetryPolicy | None = None
+    ) -> ProposerResult:
         """Change a register from a task of the loop; returns when it has ended, at `deadline` (ns) at the latest."""
         if not self.members or not (self.founded or key == topics.MEMBERS):
             return Unavailable(in_doubt=False)
         if pace is None:
-            pace = Pace(max(LEAST_ATTEMPT_NS, (deadline - self.scheduler.now()) // ATTEMPTS))
+            pace = RetryPolicy(max(LEAST_ATTEMPT_NS, (deadline - self.scheduler.now()) // ATTEMPTS))
         proposer = Proposer(
             self.identity,
             key,
@@ -426,7 +432,7 @@
             self.rng,
             deadline,
             pace,
-            held=lambda: EMPTY_CELL if self.acceptor is None else self.acceptor.cell(key),
+            read_local=lambda: EMPTY_STATE if self.acceptor is None else self.acceptor.state(key),
         )
         return self.deciders.run(proposer)
 
--- a/iristrack/dataplane/control_link.py
+++ b/iristrack/dataplane/control_link.py
@@ -103,7 +103,7 @@
     def follow_seeds(self) -> None:
         """Dial the members that are known, and the seeds of the settings."""
         settings = self.plane.settings
-        self.plane.key_lease.follow(settings.rule_bounds.key_lease_ms)
+        self.plane.key_lease.set_duration(settings.rule_bounds.key_lease_ms)
         seeds = {f"{seed.host}:{settings.port_range.first}" for seed in settings.seed_nodes}
         self.dialers.follow(seeds | set(self._members()))
 
@@ -166,7 +166,7 @@
         elif isinstance(message, ConfigurationAmendment):
             self._on_amendment(message)
         elif isinstance(message, KeyLeaseGrant):
-            self.plane.key_lease.granted(message.number, message.sequence)
+            self.plane.key_lease.handle_grant(message.number, message.sequence)
             self.plane.start_gate.look()
         elif isinstance(message, ServerLoads):
             if connection is self._hub:
@@ -229,7 +229,7 @@
     def _put_in_force(self, active: ActiveConfiguration, sequence: int) -> None:
         self.plane.active = active
         self._sequence = sequence
-        self.plane.key_lease.in_force(sequence)
+        self.plane.key_lease.set_applied_sequence(sequence)
         self.on_configuration()
         self.log.info("configuration in force", revision=active.configuration.revision, sequence=sequence)
 
@@ -237,7 +237,7 @@
 
     def _renew_key_lease(self) -> None:
         now = self.plane.scheduler.now()
-        if self.plane.key_lease.wants_request(now):
+        if self.plane.key_lease.should_request(now):
             self._ask_for_key_lease()
         self.plane.scheduler.call_at(now + LEASE_TICK_NS, self._renew_key_lease)
 
@@ -247,8 +247,8 @@
         if not lease.needed:
             return
         hub = self.core.choose_hub()
-        asked = [hub] if hub is not None and not lease.has_unanswered else list(self.core.members)
-        request = KeyLeaseRequest(lease.asks(self.plane.scheduler.now()))
+        asked = [hub] if hub is not None and not lease.has_pending_request else list(self.core.members)
+        request = KeyLeaseRequest(lease.record_request(self.plane.scheduler.now()))
         for connection in asked:
             if not connection.closed:
                 connection.send(request)
--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -113,7 +113,7 @@
 
     def _may_send(self) -> bool:
         """Is the key, where one is needed, still confirmed?"""
-        return not self.request.needs_key or self.plane.key_lease.holds(clock())
+        return not self.request.needs_key or self.plane.key_lease.is_valid(clock())
 
     def _give_up(self) -> None:
         if self.answer.begun:
@@ -372,7 +372,7 @@
         client.write(http.response(503, b"no configuration yet\n", b"Retry-After: 0.5\r\n", close=True))
         return False
     try:
-        request = read_request(plane.active, message, arrived, plane.key_lease.holds(clock()))
+        request = read_request(plane.active, message, arrived, plane.key_lease.is_valid(clock()))
     except Rejected as rejection:
         keep = keep and rejection.status != 400  # what cannot be read may be followed by anything
         lines = RETRY_AFTER_LINE if rejection.status == 503 else b""
--- a/iristrack/dataplane/state.py
+++ b/iristrack/dataplane/state.py
@@ -118,7 +118,7 @@
 
     def _can_serve(self) -> bool:
         now = self.scheduler.now()
-        return self.active is not None and self.servers.known and self.key_lease.holds(now)
+        return self.active is not None and self.servers.known and self.key_lease.is_valid(now)
 
     def required_revision(self, model: str, now: int) -> int:
         """The oldest revision of a model's weights to which a request may still be sent; 0: any."""
--- a/iristrack/register/__init__.py
+++ b/iristrack/register/__init__.py
@@ -4,11 +4,11 @@
 decide: they read no clock and no socket, and write no file. Times are in nanoseconds.
 """
 
-from iristrack.register.acceptor import RECOVERY_KEY, Acceptor, Cell, CellRecord, Outcome
+from iristrack.register.acceptor import RECOVERY_KEY, Acceptor, Outcome, RegisterRecord, RegisterState
 from iristrack.register.effects import Effect, Finished, SendTo, SetTimer
 from iristrack.register.identity import ProposerIdentity
 from iristrack.register.member_set import (
-    MOST_MEMBERS,
+    MAX_MEMBERS,
     MemberSetError,
     added,
     change_members,
@@ -22,22 +22,20 @@
     Change,
     Committed,
     Overtaken,
-    Pace,
     Proposer,
     ProposerResult,
     Refuse,
     Rejected,
+    RetryPolicy,
     Unavailable,
     Unchanged,
 )
-from iristrack.register.recovery import Recovered, Recovery, RecoveryPace
+from iristrack.register.recovery import Recovered, Recovery, RecoveryRetryPolicy
 
 __all__ = [
-    "MOST_MEMBERS",
+    "MAX_MEMBERS",
     "RECOVERY_KEY",
     "Acceptor",
-    "Cell",
-    "CellRecord",
     "Change",
     "Committed",
     "Effect",
@@ -45,15 +43,17 @@
     "MemberSetError",
     "Outcome",
     "Overtaken",
-    "Pace",
     "Proposer",
     "ProposerIdentity",
     "ProposerResult",
     "Recovered",
     "Recovery",
-    "RecoveryPace",
+    "RecoveryRetryPolicy",
     "Refuse",
+    "RegisterRecord",
+    "RegisterState",
     "Rejected",
+    "RetryPolicy",
     "SendTo",
     "SetTimer",
     "Unavailable",
--- a/iristrack/register/acceptor.py
+++ b/iristrack/register/acceptor.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
+class RegisterState:
     """What an acceptor holds of one key; `value` means nothing while `accepted` is NO_BALLOT."""
 
     promised: Ballot = NO_BALLOT
@@ -39,11 +39,11 @@
     value: bytes = b""
 
 
-EMPTY_CELL = Cell()
+EMPTY_STATE = RegisterState()
 
 
 @dataclass(frozen=True, slots=True)
-class CellRecord:
+class RegisterRecord:
     """The durable form of a cell; of several records of one key the last one written stands."""
 
     key: str
@@ -56,7 +56,7 @@
 class Outcome:
     """The record to write, if any, and the reply to release once it and all earlier records are synced."""
 
-    record: CellRecord | None
+    record: RegisterRecord | None
     reply: Promise | Accepted
 
 
@@ -73,7 +73,7 @@
         self,
         name: str,
         incarnation: str,
-        cells: dict[str, Cell],
+        cells: dict[str, RegisterState],
         voting: bool,
         *,
         keys: Iterable[str],
@@ -88,7 +88,7 @@
         self.voting = voting
         self.member_sequence = member_sequence
         self._disk_incarnation = incarnation
-        self._cells = dict(cells)
+        self._states = dict(cells)
         self._keys = frozenset(keys) | {RECOVERY_KEY}
         self._is_replaced = False
         self._successor_disk = ""  # the disk that may be filled from this acceptor since it was replaced
@@ -96,20 +96,20 @@
     @property
     def incarnation(self) -> str:
         """What answers tell: the disk's incarnation and the last recovery of another that it has helped."""
-        helped = self.cell(RECOVERY_KEY).promised
+        helped = self.state(RECOVERY_KEY).promised
         if helped == NO_BALLOT:
             return self._disk_incarnation
         return f"{self._disk_incarnation}/{helped.round}/{helped.proposer}"
 
-    def cell(self, key: str) -> Cell:
+    def state(self, key: str) -> RegisterState:
         """Return what is held of the key."""
-        return self._cells.get(key, EMPTY_CELL)
+        return self._states.get(key, EMPTY_STATE)
 
-    def accepted(self, key: str, member_sequence: int) -> Cell | None:
+    def accepted(self, key: str, member_sequence: int) -> RegisterState | None:
         """What is held of the key, as told to members of that set; None where this acceptor does not vote in it."""
         if self._is_replaced or not self._votes_on(key, member_sequence):
             return None
-        return self.cell(key)
+        return self.state(key)
 
     def serve_successor(self, member_sequence: int, disk: str) -> None:
         """Vote no more, and let the member that takes this acceptor's place in that set read what it holds.
@@ -125,11 +125,11 @@
     def handle_prepare(self, prepare: Prepare) -> Outcome:
         """Promise the ballot unless a higher one was promised; the same one is promised again."""
         if not self._votes_on(prepare.key, prepare.members) or not self._may_read(prepare.disk):
-            return Outcome(None, self._promise(prepare, EMPTY_CELL, granted=False))
-        cell = self.cell(prepare.key)
+            return Outcome(None, self._promise(prepare, EMPTY_STATE, granted=False))
+        cell = self.state(prepare.key)
         if prepare.ballot < cell.promised or prepare.ballot == NO_BALLOT:
             return Outcome(None, self._promise(prepare, cell, granted=False))
-        cell = Cell(prepare.ballot, cell.accepted, cell.value)
+        cell = RegisterState(prepare.ballot, cell.accepted, cell.value)
         record = self._advance(prepare.key, cell)
         return Outcome(record, self._promise(prepare, cell, granted=True))
 
@@ -137,11 +137,11 @@
         """Accept the value unless a higher ballot was promised or the promise was another incarnation's."""
         is_vote = accept.key != RECOVERY_KEY and not self._is_replaced
         if not is_vote or not self._votes_on(accept.key, accept.members):
-            return Outcome(None, self._accepted(accept, EMPTY_CELL, granted=False))
-        cell = self.cell(accept.key)
+            return Outcome(None, self._accepted(accept, EMPTY_STATE, granted=False))
+        cell = self.state(accept.key)
         if not self._may_accept(accept, cell):
             return Outcome(None, self._accepted(accept, cell, granted=False))
-        cell = Cell(accept.ballot, accept.ballot, accept.value)
+        cell = RegisterState(accept.ballot, accept.ballot, accept.value)
         record = self._advance(accept.key, cell)
         return Outcome(record, self._accepted(accept, cell, granted=True))
 
@@ -157,16 +157,16 @@
             return True
         return disk != "" and disk == self._successor_disk
 
-    def _may_accept(self, accept: Accept, cell: Cell) -> bool:
+    def _may_accept(self, accept: Accept, cell: RegisterState) -> bool:
         if accept.ballot < cell.promised or accept.ballot == NO_BALLOT:
             return False
         return accept.incarnation in ("", self.incarnation)
 
-    def _advance(self, key: str, cell: Cell) -> CellRecord:
-        self._cells[key] = cell
-        return CellRecord(key, cell.promised, cell.accepted, cell.value)
+    def _advance(self, key: str, cell: RegisterState) -> RegisterRecord:
+        self._states[key] = cell
+        return RegisterRecord(key, cell.promised, cell.accepted, cell.value)
 
-    def _promise(self, prepare: Prepare, cell: Cell, *, granted: bool) -> Promise:
+    def _promise(self, prepare: Prepare, cell: RegisterState, *, granted: bool) -> Promise:
         is_needed = granted and cell.accepted != prepare.known
         return Promise(
             call=prepare.call,
@@ -180,7 +180,7 @@
             members=self.member_sequence,
         )
 
-    def _accepted(self, accept: Accept, cell: Cell, *, granted: bool) -> Accepted:
+    def _accepted(self, accept: Accept, cell: RegisterState, *, granted: bool) -> Accepted:
         return Accepted(
             call=accept.call,
             key=accept.key,
--- a/iristrack/register/identity.py
+++ b/iristrack/register/identity.py
@@ -33,7 +33,7 @@
         self._rounds[key] = number
         return Ballot(number, self.name)
 
-    def saw(self, key: str, ballot: Ballot) -> None:
+    def observe(self, key: str, ballot: Ballot) -> None:
         """Note a ballot that an acceptor told of."""
         if ballot.round > self._rounds.get(key, 0):
             self._rounds[key] = ballot.round
--- a/iristrack/register/member_set.py
+++ b/iristrack/register/member_set.py
@@ -56,8 +56,8 @@
 from iristrack.wire.messages import FOUNDED, MembersValue
 from iristrack.wire.values import decode_value, encode_value
 
-MOST_MEMBERS = 9
-FEWEST_MEMBERS = 3  # two members bear no loss, as one does
+MAX_MEMBERS = 9
+MIN_MEMBERS = 3  # two members bear no loss, as one does
 SET_DIFFERS = "another member set is current"
 
 
@@ -93,16 +93,16 @@
 def added(members: MembersValue, new: str) -> MembersValue:
     """The set with `new` beside all others; raises `MemberSetError`."""
     _check_settled(members)
-    if new in members.members or len(members.members) >= MOST_MEMBERS:
-        raise MemberSetError(f"{new} is a member, or there are {MOST_MEMBERS}")
+    if new in members.members or len(members.members) >= MAX_MEMBERS:
+        raise MemberSetError(f"{new} is a member, or there are {MAX_MEMBERS}")
     return MembersValue(members.sequence + 1, tuple(sorted([*members.members, new])), new)
 
 
 def removed(members: MembersValue, old: str) -> MembersValue:
     """The set without `old`, whose registers are to be written again; raises `MemberSetError`."""
     _check_settled(members)
-    if old not in members.members or len(members.members) <= FEWEST_MEMBERS:
-        raise MemberSetError(f"{old} is no member, or there are {FEWEST_MEMBERS} or fewer")
+    if old not in members.members or len(members.members) <= MIN_MEMBERS:
+        raise MemberSetError(f"{old} is no member, or there are {MIN_MEMBERS} or fewer")
     kept = tuple(member for member in members.members if member != old)
     return MembersValue(members.sequence + 1, kept, leaving=old)
 
--- a/iristrack/register/succession.py
+++ b/iristrack/register/membership_policy.py
@@ -13,8 +13,8 @@
 from collections.abc import Collection
 
 from iristrack.register.member_set import (
-    FEWEST_MEMBERS,
-    MOST_MEMBERS,
+    MAX_MEMBERS,
+    MIN_MEMBERS,
     added,
     is_shrinking,
     quorum_of,
@@ -24,33 +24,35 @@
 from iristrack.wire.messages import MembersValue
 
 NS_PER_MS = 1_000_000
-SILENT_NS = 1500 * NS_PER_MS  # without a connection, on top of what it takes to notice a silent one
-REPORTED_NS = 500 * NS_PER_MS  # so long a machine has reported that takes a place,
+SILENCE_THRESHOLD_NS = (
+    1500 * NS_PER_MS
+)  # without a connection, on top of what it takes to notice a silent one
+REPLACEMENT_DELAY_NS = 500 * NS_PER_MS  # so long a machine has reported that takes a place,
 # One that is let in beside all has reported for so long: whose place it is to take may fall silent or leave yet, and a
 # set that has grown shrinks late. In the first seconds of a whole system it is one that was late for the founding.
-ADDED_NS = 60_000 * NS_PER_MS
-LATE_FOUNDER_NS = 3000 * NS_PER_MS
-REMOVED_NS = (
+ADDITION_DELAY_NS = 60_000 * NS_PER_MS
+LATE_FOUNDER_DELAY_NS = 3000 * NS_PER_MS
+REMOVAL_DELAY_NS = (
     300_000 * NS_PER_MS
 )  # a member that is silent for so long is taken out of a set that can spare it
 
 
-class Succession:
+class MembershipPolicy:
     """One member's view of who is silent and who could take a place."""
 
-    def __init__(self, fewest: int = FEWEST_MEMBERS) -> None:
+    def __init__(self, fewest: int = MIN_MEMBERS) -> None:
         """Nobody has been seen; the set is never made smaller than `fewest`."""
-        self._fewest = max(fewest, FEWEST_MEMBERS)
+        self._fewest = max(fewest, MIN_MEMBERS)
         self._silent_since: dict[str, int] = {}
         self._reported_since: dict[str, int] = {}
 
-    def next_set(
+    def next_member_set(
         self,
         members: MembersValue,
         connected: Collection[str],
         reporting: Collection[str],
         now: int,
-        added_ns: int = ADDED_NS,
+        added_ns: int = ADDITION_DELAY_NS,
     ) -> MembersValue | None:
         """The set to be proposed now, if any; `connected` are the members in touch, this one among them.
 
@@ -68,17 +70,17 @@
     def _draw_up(self, members: MembersValue, now: int, added_ns: int) -> MembersValue | None:
         if is_shrinking(members):
             return None
-        silent = _for_long(self._silent_since, SILENT_NS, now)
+        silent = _for_long(self._silent_since, SILENCE_THRESHOLD_NS, now)
         if members.joining:
             silent = [member for member in silent if member == members.joining]
-        ready = _for_long(self._reported_since, REPORTED_NS, now)
+        ready = _for_long(self._reported_since, REPLACEMENT_DELAY_NS, now)
         if silent and ready:
             return replaced(members, silent[0], ready[0])
-        given_up = _for_long(self._silent_since, REMOVED_NS, now)
+        given_up = _for_long(self._silent_since, REMOVAL_DELAY_NS, now)
         if given_up and not members.joining and len(members.members) > self._fewest:
             return removed(members, given_up[0])
         waiting = _for_long(self._reported_since, added_ns, now)
-        if members.joining or self._silent_since or not waiting or len(members.members) >= MOST_MEMBERS:
+        if members.joining or self._silent_since or not waiting or len(members.members) >= MAX_MEMBERS:
             return None
         if len(members.members) % 2 and len(waiting) < 2:
             return None
--- a/iristrack/register/newest_read.py
+++ b/iristrack/register/newest_read.py
@@ -15,7 +15,7 @@
 from iristrack.wire.messages import MembersValue, NewestAnswer, NewestQuery
 
 
-class NewestRead:
+class NewestSequenceRead:
     """One question and the answers to it so far."""
 
     def __init__(self, call: int, members: MembersValue) -> None:
@@ -24,7 +24,7 @@
         self._members = members
         self._told: dict[str, int] = {}
 
-    def answered(self, answer: NewestAnswer) -> int | None:
+    def handle_answer(self, answer: NewestAnswer) -> int | None:
         """Take an answer; the highest sequence, once a majority has answered."""
         is_ours = (answer.call, answer.members) == (self.query.call, self.query.members)
         if is_ours and answer.acceptor in self._members.members:
--- a/iristrack/register/proposer.py
+++ b/iristrack/register/proposer.py
@@ -39,7 +39,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum, auto
 
-from iristrack.register.acceptor import EMPTY_CELL, RECOVERY_KEY, Cell
+from iristrack.register.acceptor import EMPTY_STATE, RECOVERY_KEY, RegisterState
 from iristrack.register.effects import Effect, Finished, SendTo, SetTimer
 from iristrack.register.identity import ProposerIdentity
 from iristrack.wire.messages import NO_BALLOT, Accept, Accepted, Ballot, MembersValue, Prepare, Promise
@@ -97,13 +97,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class RetryPolicy:
     """How long attempts and the rests between them last (nanoseconds), and how many there are."""
 
     attempt_timeout_ns: int = 300 * MILLISECOND
-    first_rest_ns: int = 10 * MILLISECOND
-    longest_rest_ns: int = 500 * MILLISECOND
-    most_attempts: int = 32
+    initial_backoff_ns: int = 10 * MILLISECOND
+    max_backoff_ns: int = 500 * MILLISECOND
+    max_attempts: int = 32
 
 
 class _Phase(Enum):
@@ -124,11 +124,11 @@
         change: Change,
         rng: random.Random,
         deadline_ns: int,
-        pace: Pace | None = None,
+        pace: RetryPolicy | None = None,
         *,
-        held: Callable[[], Cell] = lambda: EMPTY_CELL,
+        read_local: Callable[[], RegisterState] = lambda: EMPTY_STATE,
     ) -> None:
-        """Prepare the change; `deadline_ns` is on the clock of `now`, `held` gives what this process's acceptor holds.
+        """Prepare the change; `deadline_ns` is on the clock of `now`, `read_local` reads this process's acceptor.
 
         Raises ValueError for the key reserved to recoveries and for an empty or repeated member list.
         """
@@ -143,7 +143,7 @@
         self._change = change
         self._rng = rng
         self._deadline_ns = deadline_ns
-        self._pace = pace or Pace()
+        self._pace = pace or RetryPolicy()
         self._phase = _Phase.RESTING
         self._attempts = 0
         self._due_ns = 0
@@ -156,8 +156,8 @@
         self._refused = False
         self._in_doubt: dict[Ballot, bytes] = {}  # new values that were sent to be accepted
         self._proposal = b""
-        self._read_held = held
-        self._held = EMPTY_CELL  # as of the start of the attempt
+        self._read_local = read_local
+        self._held = EMPTY_STATE  # as of the start of the attempt
         self._conclusion: ProposerResult | None = None
 
     @property
@@ -205,14 +205,14 @@
         return self._rest(now)
 
     def _begin_attempt(self, now: int) -> list[Effect]:
-        if self._attempts >= self._pace.most_attempts or now >= self._deadline_ns:
+        if self._attempts >= self._pace.max_attempts or now >= self._deadline_ns:
             return self._give_up()
         self._attempts += 1
         self._known = dict(self._identity.incarnations)
         self._ballot = self._identity.next_ballot(self.key)
         self._promises = {}
         self._begin_phase(_Phase.PREPARING)
-        self._held = self._read_held()
+        self._held = self._read_local()
         prepare = Prepare(self._call, self.key, self._ballot, self.member_sequence, known=self._held.accepted)
         effects: list[Effect] = [SendTo(member, prepare) for member in self.members]
         effects.append(self._set_timer(now + self._pace.attempt_timeout_ns))
@@ -230,8 +230,8 @@
             return []
         if not promise.granted and promise.promised == NO_BALLOT:
             return []  # it does not vote
-        self._identity.saw(self.key, promise.promised)
-        self._identity.saw(self.key, promise.accepted)
+        self._identity.observe(self.key, promise.promised)
+        self._identity.observe(self.key, promise.accepted)
         if not promise.granted:
             self._refused = True
             return self._lose(promise.acceptor, now)
@@ -311,7 +311,7 @@
             return []
         if not accepted.granted and accepted.promised == NO_BALLOT:
             return []  # it does not vote
-        self._identity.saw(self.key, accepted.promised)
+        self._identity.observe(self.key, accepted.promised)
         if not accepted.granted:
             self._refused = True
             return self._lose(member, now)
@@ -323,11 +323,11 @@
         return self._finish(self._conclusion)
 
     def _rest(self, now: int) -> list[Effect]:
-        if self._attempts >= self._pace.most_attempts:
+        if self._attempts >= self._pace.max_attempts:
             return self._give_up()
         self._phase = _Phase.RESTING
         doublings = self._attempts - 1
-        ceiling = min(self._pace.first_rest_ns << doublings, self._pace.longest_rest_ns)
+        ceiling = min(self._pace.initial_backoff_ns << doublings, self._pace.max_backoff_ns)
         return [self._set_timer(now + self._rng.randint(1, ceiling))]
 
     def _give_up(self) -> list[Effect]:
--- a/iristrack/register/recovery.py
+++ b/iristrack/register/recovery.py
@@ -46,7 +46,7 @@
 import random
 from dataclasses import dataclass, field
 
-from iristrack.register.acceptor import RECOVERY_KEY, CellRecord
+from iristrack.register.acceptor import RECOVERY_KEY, RegisterRecord
 from iristrack.register.effects import Effect, Finished, SendTo, SetTimer
 from iristrack.register.identity import ProposerIdentity
 from iristrack.register.member_set import is_shrinking
@@ -61,29 +61,29 @@
 class Recovered:
     """All records to write; once they are synced, an acceptor made of them may vote."""
 
-    records: tuple[CellRecord, ...]
+    records: tuple[RegisterRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class RecoveryPace:
+class RecoveryRetryPolicy:
     """How long to wait for answers (nanoseconds) before all unread keys are tried again.
 
     A try whose reads are under way is given twice the time of the one before, as values may be long and links slow. One
     that found too few members to read from is made again at a steady pace: it costs a small message to each.
     """
 
-    first_wait_ns: int = 500 * MILLISECOND
-    longest_wait_ns: int = 8_000 * MILLISECOND
-    too_few_wait_ns: int = 500 * MILLISECOND
+    initial_read_timeout_ns: int = 500 * MILLISECOND
+    max_read_timeout_ns: int = 8_000 * MILLISECOND
+    announce_retry_ns: int = 500 * MILLISECOND
 
     @classmethod
-    def within(cls, catch_up_ns: int) -> RecoveryPace:
+    def for_catch_up(cls, catch_up_ns: int) -> RecoveryRetryPolicy:
         """Return the pace of a member that has to have copied within `catch_up_ns` of the others' return.
 
         A wait lasts up to twice its figure, and the return itself has to be noticed, so a sixth of the bound is given.
         """
         wait_ns = min(max(catch_up_ns // 6, LEAST_TOO_FEW_WAIT_NS), LONGEST_TOO_FEW_WAIT_NS)
-        return cls(too_few_wait_ns=wait_ns)
+        return cls(announce_retry_ns=wait_ns)
 
 
 @dataclass(slots=True)
@@ -119,7 +119,7 @@
         members: MembersValue,
         keys: tuple[str, ...],
         rng: random.Random,
-        pace: RecoveryPace | None = None,
+        pace: RecoveryRetryPolicy | None = None,
         *,
         disk: str = "",
     ) -> None:
@@ -140,14 +140,14 @@
         self._disk = disk
         self._keys = keys
         self._rng = rng
-        self._pace = pace or RecoveryPace()
-        self._wait_ns = self._pace.first_wait_ns
+        self._pace = pace or RecoveryRetryPolicy()
+        self._wait_ns = self._pace.initial_read_timeout_ns
         self._due_ns = 0
         self._announcement = NO_BALLOT
         self._announce_call = 0
         self._incarnations: dict[str, str] = {}  # of the members that granted the announcement
         self._reads: dict[int, _Read] = {}  # by call
-        self._records: dict[str, CellRecord] = {}
+        self._records: dict[str, RegisterRecord] = {}
         self._finished = False
 
     def start(self, now: int) -> list[Effect]:
@@ -174,7 +174,7 @@
         if self._finished or now < self._due_ns:
             return []
         if self._is_reading:
-            self._wait_ns = min(2 * self._wait_ns, self._pace.longest_wait_ns)
+            self._wait_ns = min(2 * self._wait_ns, self._pace.max_read_timeout_ns)
         return self._announce(now)
 
     @property
@@ -191,12 +191,12 @@
             self._announce_call, RECOVERY_KEY, self._announcement, self.member_sequence, self._disk
         )
         effects: list[Effect] = [SendTo(member, prepare) for member in self.others]
-        effects.append(self._set_timer(now, self._pace.too_few_wait_ns))
+        effects.append(self._set_timer(now, self._pace.announce_retry_ns))
         return effects
 
     def _handle_announced(self, promise: Promise, now: int) -> list[Effect]:
         if not promise.granted:
-            self._identity.saw(RECOVERY_KEY, promise.promised)
+            self._identity.observe(RECOVERY_KEY, promise.promised)
             return self._announce(now)
         if self._is_reading:
             return []  # the reads are under way at those that were first
@@ -220,8 +220,8 @@
         return [SendTo(member, prepare) for member in self._incarnations]
 
     def _handle_read(self, promise: Promise, read: _Read) -> list[Effect]:
-        self._identity.saw(read.key, promise.promised)
-        self._identity.saw(read.key, promise.accepted)
+        self._identity.observe(read.key, promise.promised)
+        self._identity.observe(read.key, promise.accepted)
         if not promise.granted:
             del self._reads[promise.call]
             return self._read(read.key)
@@ -234,17 +234,17 @@
         self._records[read.key] = self._adopt(read)
         return self._finish_if_complete()
 
-    def _adopt(self, read: _Read) -> CellRecord:
+    def _adopt(self, read: _Read) -> RegisterRecord:
         newest = max(read.promises.values(), key=lambda promise: promise.accepted)
         if newest.accepted == NO_BALLOT:
-            return CellRecord(read.key, read.ballot, NO_BALLOT, b"")
-        return CellRecord(read.key, read.ballot, read.ballot, newest.value)
+            return RegisterRecord(read.key, read.ballot, NO_BALLOT, b"")
+        return RegisterRecord(read.key, read.ballot, read.ballot, newest.value)
 
     def _finish_if_complete(self) -> list[Effect]:
         if len(self._records) < len(self._keys):
             return []
         self._finished = True
-        announced = CellRecord(RECOVERY_KEY, self._announcement, NO_BALLOT, b"")
+        announced = RegisterRecord(RECOVERY_KEY, self._announcement, NO_BALLOT, b"")
         return [Finished(Recovered((announced, *self._records.values())))]
 
     def _set_timer(self, now: int, wait_ns: int) -> SetTimer:
--- a/iristrack/simulation/control.py
+++ b/iristrack/simulation/control.py
@@ -544,7 +544,7 @@
 
 
 def _accepted(core: SimulatedCore) -> ConfigurationValue | None:
-    return decode_value(core.plane.register.acceptor.cell(topics.CONFIGURATION).value, ConfigurationValue)
+    return decode_value(core.plane.register.acceptor.state(topics.CONFIGURATION).value, ConfigurationValue)
 
 
 # ---- the command
--- a/iristrack/simulation/control_nodes.py
+++ b/iristrack/simulation/control_nodes.py
@@ -35,7 +35,7 @@
         self.rng = random.Random(core.rng.getrandbits(64))
         self.sync: VirtualSync | None = None
 
-    def open_cells(self, folder: str, node: str) -> SimpleNamespace:
+    def open_acceptor_store(self, folder: str, node: str) -> SimpleNamespace:
         """What the disk holds."""
         return self.core.disk.opened(node)
 
--- a/iristrack/simulation/explorer.py
+++ b/iristrack/simulation/explorer.py
@@ -28,16 +28,16 @@
 
 from iristrack.register import (
     Acceptor,
-    Cell,
     Committed,
     Finished,
     Overtaken,
-    Pace,
     Proposer,
     ProposerIdentity,
     Recovery,
     Refuse,
+    RegisterState,
     Rejected,
+    RetryPolicy,
     SendTo,
     Unchanged,
     replaced,
@@ -53,7 +53,7 @@
 FIRST = b"first"  # the value that both changes build on
 MEMBERS = ("a", "b", "c")
 SPARE = "d"
-ONE_ATTEMPT = Pace(attempt_timeout_ns=NEVER_NS, most_attempts=2)
+ONE_ATTEMPT = RetryPolicy(attempt_timeout_ns=NEVER_NS, max_attempts=2)
 
 
 class NoDraws(random.Random):
@@ -103,7 +103,7 @@
 
     name: str
     incarnation: str  # on the disk; empty: it has no vote
-    cells: dict[str, Cell]  # on the disk
+    cells: dict[str, RegisterState]  # on the disk
     members: MembersValue
     acceptor: Acceptor | None = None
     recovery: Recovery | None = None
@@ -209,7 +209,7 @@
         scope = self.scope
         members = MembersValue(FOUNDED, MEMBERS)
         ballot = replace(NO_BALLOT, round=1, proposer="before")
-        cell = Cell(ballot, ballot, FIRST)
+        cell = RegisterState(ballot, ballot, FIRST)
         machines = {}
         for name in (*MEMBERS, SPARE):
             incarnation = f"{name}-0" if name in MEMBERS else ""
@@ -322,7 +322,7 @@
             record, receiver, reply = machine.unsynced.pop(0)
             if record is not None:
                 machine.cells = machine.cells | {
-                    record.key: Cell(record.promised, record.accepted, record.value)
+                    record.key: RegisterState(record.promised, record.accepted, record.value)
                 }
             self._send(state, machine.name, receiver, reply)
             if machine.unsynced and machine.unsynced[0][0] is not None:
@@ -425,7 +425,9 @@
                 machine = state.machines[name]
                 machine.recovery = None
                 machine.incarnation = f"{name}-{machine.starts}"
-                machine.cells = {r.key: Cell(r.promised, r.accepted, r.value) for r in effect.result.records}
+                machine.cells = {
+                    r.key: RegisterState(r.promised, r.accepted, r.value) for r in effect.result.records
+                }
                 self._start(machine)
 
     def _send(self, state: State, sender: str, receiver: str, message: object) -> None:
@@ -483,13 +485,15 @@
                 and machine.acceptor.member_sequence == members.sequence
             ]
             for quorum in itertools.combinations(sorted(voting), len(members.members) // 2 + 1):
-                read = max((state.machines[name].cells.get(KEY, Cell()) for name in quorum), key=_accepted)
+                read = max(
+                    (state.machines[name].cells.get(KEY, RegisterState()) for name in quorum), key=_accepted
+                )
                 if read.value != value:
                     return "+".join(quorum)
         return None
 
 
-def _accepted(cell: Cell):
+def _accepted(cell: RegisterState):
     return cell.accepted
 
 
@@ -513,7 +517,7 @@
     copied.unsynced = list(machine.unsynced)
     if machine.acceptor is not None:
         copied.acceptor = copy.copy(machine.acceptor)
-        copied.acceptor._cells = dict(machine.acceptor._cells)
+        copied.acceptor._states = dict(machine.acceptor._states)
     if machine.recovery is not None:
         recovery = copied.recovery = copy.copy(machine.recovery)
         recovery._identity = _clone_identity(recovery._identity)
@@ -560,7 +564,7 @@
                 m.acceptor.member_sequence,
                 m.acceptor.incarnation,
                 m.acceptor._successor_disk,
-                repr(sorted(m.acceptor._cells.items())),
+                repr(sorted(m.acceptor._states.items())),
             ),
             m.recovery is not None and _recovery_mark(m.recovery),
         )
--- a/iristrack/simulation/register_machines.py
+++ b/iristrack/simulation/register_machines.py
@@ -13,10 +13,10 @@
 from iristrack.register.proposer import (
     Committed,
     Overtaken,
-    Pace,
     ProposerResult,
     Refuse,
     Rejected,
+    RetryPolicy,
     Unavailable,
     Unchanged,
 )
@@ -25,7 +25,7 @@
 from iristrack.simulation.register_referee import ROOT, Referee
 from iristrack.simulation.virtual_machines import SilentLog, VirtualDisk, VirtualSync
 from iristrack.simulation.virtual_time import VirtualScheduler, World
-from iristrack.store.cells import IdentityRecord
+from iristrack.store.acceptor_store import IdentityRecord
 from iristrack.wire.messages import MembersValue, Message, Update
 from iristrack.wire.values import decode_value, encode_value
 
@@ -214,7 +214,7 @@
     def _change(self, machine: RegisterMachine, known: MembersValue, proposed: MembersValue) -> None:
         change = change_members(known, proposed)
         deadline = self._around.world.now + OPERATION_LIMIT_NS
-        result = machine.host.change(topics.MEMBER_SET, change, deadline, Pace())
+        result = machine.host.change(topics.MEMBER_SET, change, deadline, RetryPolicy())
         self._proposing = None
         if isinstance(result, Rejected) or result == Unavailable(in_doubt=False):
             self._sequence = 0
@@ -274,7 +274,7 @@
         """Read a register once, for so long at most."""
 
         def run() -> None:
-            on_result(self.host.change(key, read_only, self.around.world.now + limit_ns, Pace()))
+            on_result(self.host.change(key, read_only, self.around.world.now + limit_ns, RetryPolicy()))
 
         self.scheduler.spawn("read", run)
 
@@ -290,7 +290,7 @@
         content = None if rng.random() < READ_SHARE else self._new_content()
         change = read_only if content is None else self._compare_and_set(key, content)
         self.around.figures["operations"] += 1
-        result = self.host.change(key, change, self.around.world.now + OPERATION_LIMIT_NS, Pace())
+        result = self.host.change(key, change, self.around.world.now + OPERATION_LIMIT_NS, RetryPolicy())
         self.around.figures[type(result).__name__.lower()] += 1
         self._report(key, floor, content, result)
 
--- a/iristrack/simulation/virtual_machines.py
+++ b/iristrack/simulation/virtual_machines.py
@@ -14,7 +14,7 @@
 from types import SimpleNamespace
 
 from iristrack.simulation.virtual_time import VirtualScheduler, World
-from iristrack.store.cell_format import BlobRecord, IdentityRecord, Record
+from iristrack.store.acceptor_format import BlobRecord, IdentityRecord, Record
 from iristrack.wire.codec import FrameReader
 from iristrack.wire.connection import USER_TIMEOUT_MS
 from iristrack.wire.messages import Message
@@ -201,11 +201,11 @@
     stalled_until: int = 0  # nothing is written before
 
     def opened(self, node: str) -> SimpleNamespace:
-        """What `open_cells` gives of it."""
+        """What `open_acceptor_store` gives of it."""
         return SimpleNamespace(
             store=SimpleNamespace(node=node),
             identity=self.identity,
-            cells=dict(self.cells),
+            registers=dict(self.cells),
             blobs=dict(self.blobs),
             notes=[],
         )
--- a/iristrack/store/cell_format.py
+++ b/iristrack/store/acceptor_format.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from functools import cache
 
-from iristrack.register.acceptor import CellRecord
+from iristrack.register.acceptor import RegisterRecord
 from iristrack.store.framing import Cut, Frame, Framing, Read, TooLarge, Verdict
 from iristrack.wire.codec import Codec, SpoiltBody
 
@@ -45,7 +45,7 @@
     value: bytes
 
 
-Record = CellRecord | IdentityRecord | BlobRecord
+Record = RegisterRecord | IdentityRecord | BlobRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,14 +62,14 @@
 
     read: Read  # without records
     identity: IdentityRecord | None = None
-    cells: dict[str, CellRecord] = field(default_factory=dict)
+    registers: dict[str, RegisterRecord] = field(default_factory=dict)
     blobs: dict[str, bytes] = field(default_factory=dict)
 
     def records(self) -> list[Record]:
         """What it takes to write all of this anew, the identity first."""
         identity = [] if self.identity is None else [self.identity]
         blobs = [BlobRecord(name, value) for name, value in self.blobs.items()]
-        return [*identity, *self.cells.values(), *blobs]
+        return [*identity, *self.registers.values(), *blobs]
 
 
 _BALLOT_SCHEMA = {
@@ -113,7 +113,7 @@
 
 _RECORD_TYPES = (  # a number is never used again
     _RecordType(1, IdentityRecord, (_IDENTITY_SCHEMA,)),
-    _RecordType(2, CellRecord, (_CELL_SCHEMA,)),
+    _RecordType(2, RegisterRecord, (_CELL_SCHEMA,)),
     _RecordType(3, BlobRecord, (_BLOB_SCHEMA,)),
 )
 _NUMBERS = {row.record_class: row.number for row in _RECORD_TYPES}
@@ -128,7 +128,7 @@
 def slot_of(record: Record) -> Slot:
     """The slot that a record fills."""
     number = _NUMBERS[type(record)]
-    if isinstance(record, CellRecord):
+    if isinstance(record, RegisterRecord):
         return Slot(number, record.key)
     if isinstance(record, BlobRecord):
         return Slot(number, record.name)
@@ -148,7 +148,7 @@
     if isinstance(record, IdentityRecord):
         names = [record.incarnation, record.node]
         size = 0
-    elif isinstance(record, CellRecord):
+    elif isinstance(record, RegisterRecord):
         names = [record.key, record.promised.proposer, record.accepted.proposer]
         size = len(record.value)
     else:
@@ -162,7 +162,7 @@
 
 
 def read_contents(data: bytes) -> Contents:
-    """Read a file's bytes to their longest valid prefix; the verdict is `WHOLE` where that is all. Never raises."""
+    """Read a file's bytes to their longest valid prefix; the verdict is `COMPLETE` where that is all. Never raises."""
     contents = Contents(FRAMING.read_header(data))
     read = contents.read
     if read.verdict is not Verdict.PREFIX:
@@ -175,7 +175,7 @@
     except Cut as cut:
         read.why = str(cut)
     else:
-        read.verdict = Verdict.WHOLE
+        read.verdict = Verdict.COMPLETE
     return contents
 
 
@@ -196,7 +196,7 @@
 def _take(record: Record, contents: Contents) -> None:
     if isinstance(record, IdentityRecord):
         contents.identity = record
-    elif isinstance(record, CellRecord):
-        contents.cells[record.key] = record
+    elif isinstance(record, RegisterRecord):
+        contents.registers[record.key] = record
     else:
         contents.blobs[record.name] = record.value
--- a/iristrack/store/cells_reader.py
+++ b/iristrack/store/acceptor_reader.py
@@ -1,7 +1,7 @@
 """Looking into an acceptor's folder while a process may be using it: nothing is locked, made, changed or removed.
 
 What is shown may be ahead of the disk (records that are not synced yet) and a moment old. It is for people; a process
-that means to vote opens the folder by `cells.open_cells`.
+that means to vote opens the folder by `acceptor_store.open_acceptor_store`.
 """
 
 from __future__ import annotations
@@ -9,41 +9,41 @@
 import re
 from dataclasses import dataclass, field
 
-from iristrack.register.acceptor import CellRecord
-from iristrack.store.cell_format import Contents, IdentityRecord, read_contents
-from iristrack.store.cells import MOST_FILE_BYTES, CellsError, NewerFormat, UnreadableFile
-from iristrack.store.files import Disk, Files
+from iristrack.register.acceptor import RegisterRecord
+from iristrack.store.acceptor_format import Contents, IdentityRecord, read_contents
+from iristrack.store.acceptor_store import MOST_FILE_BYTES, AcceptorStoreError, NewerFormat, UnreadableFile
+from iristrack.store.files import FileSystem, LocalFileSystem
 from iristrack.store.framing import Verdict
 
 MOST_TRIES = 5  # a file may be replaced by the next one between its being named and its being read
 _FILE_NAME = re.compile(r"cells\.(\d{1,18})$")
 
 
-class NoCells(CellsError):
+class NoAcceptorFile(AcceptorStoreError):
     """The folder holds no file of an acceptor."""
 
 
 @dataclass(slots=True)
-class SeenCells:
+class AcceptorStoreView:
     """What a folder held at one moment."""
 
     file: str
     identity: IdentityRecord | None = None
-    cells: dict[str, CellRecord] = field(default_factory=dict)
+    registers: dict[str, RegisterRecord] = field(default_factory=dict)
     blobs: dict[str, bytes] = field(default_factory=dict)
     notes: list[str] = field(default_factory=list)  # what was left out, and why
 
 
-def read_cells(folder: str, files: Files | None = None) -> SeenCells:
+def read_acceptor_store(folder: str, files: FileSystem | None = None) -> AcceptorStoreView:
     """Read the newest file of a folder.
 
-    Raises `NoCells`, `NewerFormat`, `UnreadableFile`, and `OSError` for a call that failed.
+    Raises `NoAcceptorFile`, `NewerFormat`, `UnreadableFile`, and `OSError` for a call that failed.
     """
-    files = files or Disk()
+    files = files or LocalFileSystem()
     for _ in range(MOST_TRIES):
         name = _newest(files.names(folder))
         if name is None:
-            raise NoCells(f"{folder} holds no cells")
+            raise NoAcceptorFile(f"{folder} holds no cells")
         try:
             data = files.read(f"{folder}/{name}", MOST_FILE_BYTES + 1)
         except FileNotFoundError:
@@ -58,13 +58,13 @@
     return None if newest is None else newest[0]
 
 
-def _seen(folder: str, name: str, data: bytes) -> SeenCells:
+def _seen(folder: str, name: str, data: bytes) -> AcceptorStoreView:
     if len(data) > MOST_FILE_BYTES:
         raise UnreadableFile(f"{folder}/{name} holds over {MOST_FILE_BYTES} bytes")
     contents = read_contents(data)
     if contents.read.verdict is Verdict.NEWER:
         raise NewerFormat(f"{folder}/{name}: {contents.read.why}; written by {contents.read.writer}")
-    seen = SeenCells(name, contents.identity, contents.cells, contents.blobs)
+    seen = AcceptorStoreView(name, contents.identity, contents.registers, contents.blobs)
     seen.notes += _notes(name, contents, len(data))
     return seen
 
--- a/iristrack/store/cells.py
+++ b/iristrack/store/acceptor_store.py
@@ -20,8 +20,8 @@
 from dataclasses import dataclass, field
 
 from iristrack import __version__
-from iristrack.register.acceptor import CellRecord
-from iristrack.store.cell_format import (
+from iristrack.register.acceptor import RegisterRecord
+from iristrack.store.acceptor_format import (
     FRAMING,
     BlobRecord,
     Contents,
@@ -32,25 +32,25 @@
     read_contents,
     slot_of,
 )
-from iristrack.store.files import Disk, Files
+from iristrack.store.files import FileSystem, LocalFileSystem
 from iristrack.store.framing import TooLarge, Verdict
 
 __all__ = [
+    "AcceptorStore",
+    "AcceptorStoreError",
     "BlobRecord",
-    "CellRecord",
-    "CellStore",
-    "CellsError",
     "FolderBusy",
     "ForeignFolder",
     "IdentityRecord",
     "MissingIdentity",
     "NewerFormat",
-    "OpenedCells",
+    "OpenedAcceptorStore",
     "Record",
+    "RegisterRecord",
     "StoreFull",
     "TooLarge",
     "UnreadableFile",
-    "open_cells",
+    "open_acceptor_store",
 ]
 
 MOST_LIVE_BYTES = 64 * 1024 * 1024
@@ -62,27 +62,27 @@
 _FILE_NAME = re.compile(r"cells\.(\d{1,18})(\.new)?$")
 
 
-class CellsError(Exception):
+class AcceptorStoreError(Exception):
     """A folder or a record that cannot be used; nothing was changed."""
 
 
-class FolderBusy(CellsError):
+class FolderBusy(AcceptorStoreError):
     """Another process has the folder."""
 
 
-class NewerFormat(CellsError):
+class NewerFormat(AcceptorStoreError):
     """The folder was written by a later version of the program."""
 
 
-class ForeignFolder(CellsError):
+class ForeignFolder(AcceptorStoreError):
     """The folder belongs to another node."""
 
 
-class UnreadableFile(CellsError):
+class UnreadableFile(AcceptorStoreError):
     """The folder's file is over the bound of what is read."""
 
 
-class MissingIdentity(CellsError):
+class MissingIdentity(AcceptorStoreError):
     """The first append to an empty folder holds no `IdentityRecord`."""
 
 
@@ -91,29 +91,29 @@
 
 
 @dataclass(slots=True)
-class OpenedCells:
+class OpenedAcceptorStore:
     """What a folder held, and the store that goes on writing to it."""
 
-    store: CellStore
+    store: AcceptorStore
     identity: IdentityRecord | None = None  # None: nothing was there, or nothing of it can be used
-    cells: dict[str, CellRecord] = field(default_factory=dict)
+    registers: dict[str, RegisterRecord] = field(default_factory=dict)
     blobs: dict[str, bytes] = field(default_factory=dict)
     notes: list[str] = field(default_factory=list)  # what was left out, and why
 
 
-def open_cells(folder: str, node: str, files: Files | None = None) -> OpenedCells:
+def open_acceptor_store(folder: str, node: str, files: FileSystem | None = None) -> OpenedAcceptorStore:
     """Lock the folder, read what it holds and have that on the disk.
 
     Raises `FolderBusy`, `NewerFormat`, `ForeignFolder`, `UnreadableFile`, and `OSError` for a call that failed; the
     folder is let go of then.
     """
-    files = files or Disk()
+    files = files or LocalFileSystem()
     files.make(folder)
     try:
         lock = files.lock(f"{folder}/{LOCK_NAME}")
     except BlockingIOError:
         raise FolderBusy(f"{folder} is in use by another process") from None
-    store = CellStore(folder, node, files, lock)
+    store = AcceptorStore(folder, node, files, lock)
     try:
         return store.open()
     except BaseException:
@@ -121,10 +121,10 @@
         raise
 
 
-class CellStore:
-    """One process's use of a folder, made by `open_cells`. Not for use by two threads at once."""
+class AcceptorStore:
+    """One process's use of a folder, made by `open_acceptor_store`. Not for use by two threads at once."""
 
-    def __init__(self, folder: str, node: str, files: Files, lock: int) -> None:
+    def __init__(self, folder: str, node: str, files: FileSystem, lock: int) -> None:
         """`lock` is the handle of the folder's lock file."""
         self.folder = folder
         self.node = node
@@ -139,9 +139,9 @@
 
     # ---- reading
 
-    def open(self) -> OpenedCells:
-        """Read the newest file, and write what it held into a new one; called once, by `open_cells`."""
-        opened = OpenedCells(self)
+    def open(self) -> OpenedAcceptorStore:
+        """Read the newest file, and write what it held into a new one; called once, by `open_acceptor_store`."""
+        opened = OpenedAcceptorStore(self)
         newest = self._survey(self._files.names(self.folder))
         if newest is None:
             return opened
@@ -151,7 +151,7 @@
         if contents.identity.node != self.node:
             raise ForeignFolder(f"{self.folder} belongs to {contents.identity.node}, not to {self.node}")
         opened.identity = contents.identity
-        opened.cells = contents.cells
+        opened.registers = contents.registers
         opened.blobs = contents.blobs
         # What was read may not be on the disk yet, and its tail may be spoilt: both end with a new file.
         self._rewrite({slot_of(record): encode_record(record) for record in contents.records()})
--- a/iristrack/store/files.py
+++ b/iristrack/store/files.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 
-class Files(Protocol):
+class FileSystem(Protocol):
     """What the store needs of a file system. Every call may raise OSError."""
 
     def make(self, path: str) -> None: ...  # noqa: D102
@@ -27,7 +27,7 @@
     def lock(self, path: str) -> int: ...  # noqa: D102
 
 
-class Disk:
+class LocalFileSystem:
     """The real ones."""
 
     def make(self, path: str) -> None:
--- a/iristrack/store/framing.py
+++ b/iristrack/store/framing.py
@@ -28,7 +28,7 @@
 class Verdict(Enum):
     """What became of a file's bytes."""
 
-    WHOLE = "whole"  # to its last byte, and its end record is there
+    COMPLETE = "whole"  # to its last byte, and its end record is there
     PREFIX = "prefix"  # valid up to `end`, where the rest is cut or spoilt
     DISCARDED = "discarded"  # nothing of it can be used
     NEWER = "newer"  # written in a format that this version does not know: kept aside
--- a/iristrack/store/keeper.py
+++ b/iristrack/store/sidecar_state.py
@@ -15,8 +15,8 @@
 from iristrack.balance import Balancer
 from iristrack.recovery.pack import unpack
 from iristrack.recovery.trust import trust
-from iristrack.store.store import Store
-from iristrack.store.writer import Writer
+from iristrack.store.state_store import StateStore
+from iristrack.store.state_writer import StateWriter
 
 if TYPE_CHECKING:
     from iristrack.runtime.scheduler import Scheduler
@@ -25,7 +25,7 @@
 LAST_WRITE_S = 0.5  # how long the end of the process waits for the last checkpoint
 
 
-class Keeper:
+class SidecarState:
     """One sidecar's state in one folder."""
 
     def __init__(
@@ -35,7 +35,7 @@
         self.tell = tell
         self.say = say
         self.name = name
-        self.writer = Writer(Store(folder, __version__, say), name, say)
+        self.writer = StateWriter(StateStore(folder, __version__, say), name, say)
 
     def start(self, settings: mi.Settings) -> dict | None:
         """Lock the folder and weigh what it holds: what `Balancer` takes as `learned`, or None."""
@@ -58,7 +58,7 @@
             self.tell(f"state: {len(learned['servers'])} servers are known from {age / 1e9:.1f} s ago")
         return learned
 
-    def follow(self, scheduler: Scheduler, balancer: Balancer, clock: Callable[[], int]) -> None:
+    def schedule_snapshots(self, scheduler: Scheduler, balancer: Balancer, clock: Callable[[], int]) -> None:
         """Offer a snapshot every second from now on."""
 
         def offer() -> None:
--- a/iristrack/store/format.py
+++ b/iristrack/store/state_format.py
@@ -20,10 +20,10 @@
 
 MAGIC = b"IRISTATE"
 FORMAT = 1
-MOST_RECORD = 64 * 1024
-MOST_FILE = 8 * 1024 * 1024
+MAX_RECORD_BYTES = 64 * 1024
+MAX_FILE_BYTES = 8 * 1024 * 1024
 END = "end"
-_FRAMING = Framing(MAGIC, FORMAT, MOST_RECORD)
+_FRAMING = Framing(MAGIC, FORMAT, MAX_RECORD_BYTES)
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder().decode
 
@@ -41,8 +41,8 @@
     """A whole checkpoint; raises `TooLarge`."""
     parts = [header(writer), *(record(kind, body) for kind, body in records), record(END, len(records))]
     data = b"".join(parts)
-    if len(data) > MOST_FILE:
-        raise TooLarge(f"a checkpoint holds {len(data)} bytes, {MOST_FILE} at most")
+    if len(data) > MAX_FILE_BYTES:
+        raise TooLarge(f"a checkpoint holds {len(data)} bytes, {MAX_FILE_BYTES} at most")
     return data
 
 
@@ -65,7 +65,7 @@
         if kind == END:
             if body != len(found.records) or frame.end != len(data):
                 raise Cut(f"the end record at byte {frame.begin} does not fit")
-            found.end, found.verdict = frame.end, Verdict.WHOLE
+            found.end, found.verdict = frame.end, Verdict.COMPLETE
             return
         found.records.append((kind, body))
         found.end = frame.end
--- a/iristrack/store/store.py
+++ b/iristrack/store/state_store.py
@@ -19,20 +19,20 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from iristrack.store import format as fmt
-from iristrack.store.files import Disk, Files
+from iristrack.store import state_format as fmt
+from iristrack.store.files import FileSystem, LocalFileSystem
 
 KEPT = 2  # generations
-NAME = re.compile(r"(checkpoint|journal)\.(\d{1,18})$")
-MOST_READ = fmt.MOST_FILE + 1
+FILE_NAME_PATTERN = re.compile(r"(checkpoint|journal)\.(\d{1,18})$")
+MAX_READ_BYTES = fmt.MAX_FILE_BYTES + 1
 
 
-class Busy(Exception):
+class StateFolderBusy(Exception):
     """Another process has the folder."""
 
 
 @dataclass(slots=True)
-class Found:
+class StoredState:
     """What a folder held."""
 
     records: list[fmt.Record] = field(default_factory=list)
@@ -41,17 +41,17 @@
     notes: list[str] = field(default_factory=list)  # what was left out, and why
 
 
-class Store:
+class StateStore:
     """One process's use of a folder. Not for use by two threads at once."""
 
     def __init__(
-        self, folder: str, writer: str, complain: Callable[[str], None], files: Files | None = None
+        self, folder: str, writer: str, complain: Callable[[str], None], files: FileSystem | None = None
     ) -> None:
         """`writer` is the program's version; nothing is touched before `open`."""
         self.folder = folder
         self.writer = writer
         self.complain = complain
-        self.files: Files = files or Disk()
+        self.files: FileSystem = files or LocalFileSystem()
         self.generation = -1
         self._lock = -1
         self._journal = -1
@@ -64,14 +64,14 @@
 
     # ---- reading
 
-    def open(self) -> Found:
-        """Lock the folder and read what it holds. Raises `Busy`; whatever else goes wrong is an empty find."""
-        found = Found()
+    def open(self) -> StoredState:
+        """Lock the folder and read what it holds. Raises `StateFolderBusy`; other failures return an empty state."""
+        found = StoredState()
         try:
             self.files.make(self.folder)
             self._lock = self.files.lock(self._path("lock"))
         except BlockingIOError:
-            raise Busy(f"{self.folder} is in use by another process") from None
+            raise StateFolderBusy(f"{self.folder} is in use by another process") from None
         except OSError as fault:
             self.complain(f"state: {self.folder} cannot be used: {fault}")
             return found
@@ -82,7 +82,7 @@
             return found
         generations: dict[int, set[str]] = {}
         for name in names:
-            if match := NAME.match(name):
+            if match := FILE_NAME_PATTERN.match(name):
                 generations.setdefault(int(match[2]), set()).add(match[1])
             elif name.endswith(".new"):
                 self._remove(name)  # left behind by a process that was killed
@@ -93,10 +93,10 @@
         self.generation = self._past_newest
         return found
 
-    def _take(self, generation: int, kinds: set[str], found: Found) -> None:
+    def _take(self, generation: int, kinds: set[str], found: StoredState) -> None:
         name = f"checkpoint.{generation}"
         read = self._read(name, found)
-        if read is None or read.verdict is not fmt.Verdict.WHOLE:
+        if read is None or read.verdict is not fmt.Verdict.COMPLETE:
             if read is not None and read.verdict is not fmt.Verdict.NEWER:
                 found.notes.append(f"{name}: {read.why}")
             return
@@ -104,17 +104,17 @@
         if "journal" in kinds:
             name = f"journal.{generation}"
             read = self._read(name, found)
-            if read is not None and read.verdict in (fmt.Verdict.WHOLE, fmt.Verdict.PREFIX):
+            if read is not None and read.verdict in (fmt.Verdict.COMPLETE, fmt.Verdict.PREFIX):
                 found.changes = read.records
 
-    def _read(self, name: str, found: Found) -> fmt.Read | None:
+    def _read(self, name: str, found: StoredState) -> fmt.Read | None:
         try:
-            data = self.files.read(self._path(name), MOST_READ)
+            data = self.files.read(self._path(name), MAX_READ_BYTES)
         except OSError as fault:
             found.notes.append(f"{name}: {fault}")
             return None
-        if len(data) > fmt.MOST_FILE:
-            found.notes.append(f"{name}: over {fmt.MOST_FILE} bytes")
+        if len(data) > fmt.MAX_FILE_BYTES:
+            found.notes.append(f"{name}: over {fmt.MAX_FILE_BYTES} bytes")
             return None
         read = fmt.read(data)
         if read.verdict is fmt.Verdict.NEWER:
@@ -167,7 +167,7 @@
             if self._journal < 0:
                 self._journal = self.files.create(self._path(f"journal.{self.generation}"))
                 data = fmt.header(self.writer) + data
-            if self._journal_bytes + len(data) > fmt.MOST_FILE:
+            if self._journal_bytes + len(data) > fmt.MAX_FILE_BYTES:
                 return False  # time for a checkpoint
             self._write(self._journal, data)
         except fmt.TooLarge as fault:
--- a/iristrack/store/writer.py
+++ b/iristrack/store/state_writer.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 
 from iristrack.recovery.pack import changes, pack
-from iristrack.store import format as fmt
-from iristrack.store.store import Busy, Found, Store
+from iristrack.store import state_format as fmt
+from iristrack.store.state_store import StateFolderBusy, StateStore, StoredState
 
 QUEUED = 4
 SYNC_EVERY_S = 1.0
@@ -26,12 +26,12 @@
 Snapshot = tuple[dict, int]  # what was learned, and when (Unix time, ns)
 
 
-class Writer:
+class StateWriter:
     """One folder's writer. `start` opens it and says what it held; then `offer`, and at the end `close`."""
 
     def __init__(
         self,
-        store: Store,
+        store: StateStore,
         name: str,
         say: Callable[[str], None],
         most_bytes_a_s: int = MOST_BYTES_A_S,
@@ -65,13 +65,13 @@
         self._said_at, self._unsaid = now, 0
         self._say(text + more)
 
-    def start(self) -> Found:
+    def start(self) -> StoredState:
         """Read what is there and begin to write; an empty find and no thread while another process has the folder."""
         try:
             found = self.store.open()
-        except Busy as fault:
+        except StateFolderBusy as fault:
             self.complain(f"state: {fault}; this process keeps none")
-            return Found()
+            return StoredState()
         self._thread = threading.Thread(target=self._run, name="state writer", daemon=True)
         self._thread.start()
         return found
--- a/iristrack/store/sync_thread.py
+++ b/iristrack/store/sync_thread.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from iristrack.store.cell_format import IdentityRecord, Record
-from iristrack.store.cells import CellStore, StoreFull
+from iristrack.store.acceptor_format import IdentityRecord, Record
+from iristrack.store.acceptor_store import AcceptorStore, StoreFull
 
 if TYPE_CHECKING:
     from iristrack.runtime.scheduler import Scheduler
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        store: CellStore,
+        store: AcceptorStore,
         scheduler: Scheduler,
         report_failure: Callable[[Exception], None] = lambda failure: None,
     ) -> None:
--- a/tests/cli/test_system_commands.py
+++ b/tests/cli/test_system_commands.py
@@ -27,9 +27,9 @@
 from iristrack.standin.operator import Call, call_once
 from iristrack.standin.system import System
 from iristrack.standin.waiting import wait_until
-from iristrack.store.cells import IdentityRecord, NewerFormat, UnreadableFile, open_cells
-from iristrack.store.cells_reader import NoCells, read_cells
-from iristrack.store.files import Disk
+from iristrack.store.acceptor_reader import NoAcceptorFile, read_acceptor_store
+from iristrack.store.acceptor_store import IdentityRecord, NewerFormat, UnreadableFile, open_acceptor_store
+from iristrack.store.files import LocalFileSystem
 from tests.system.scene import (
     AMPLE_RETRIES,
     CHAT,
@@ -621,7 +621,7 @@
 
 def filled(folder: Path) -> Path:
     """A folder with an owner; its only file."""
-    opened = open_cells(str(folder), "a")
+    opened = open_acceptor_store(str(folder), "a")
     opened.store.append([IdentityRecord("first", "a")])
     opened.store.close()
     (file,) = folder.glob("cells.*")
@@ -632,7 +632,7 @@
     file = filled(tmp_path)
     whole = file.read_bytes()
     file.write_bytes(whole + b"torn")
-    seen = read_cells(str(tmp_path))
+    seen = read_acceptor_store(str(tmp_path))
     assert (seen.identity, len(seen.notes)) == (IdentityRecord("first", "a"), 1)
     assert "4 of" in seen.notes[0]
     assert "4 of" in run("status", "--data-dir", tmp_path).out
@@ -641,12 +641,12 @@
     head = whole[:8] + (99).to_bytes(2, "little") + whole[10:length]
     file.write_bytes(head + crc32c(head).to_bytes(4, "little") + whole[length + 4 :])
     with pytest.raises(NewerFormat):
-        read_cells(str(tmp_path))
+        read_acceptor_store(str(tmp_path))
     ran = run("status", "--data-dir", tmp_path)
     assert ran.status == 2 and "format 99" in complaint(ran)
 
 
-class Replacing(Disk):
+class Replacing(LocalFileSystem):
     """A folder whose newest file is replaced by the next one just before it is read, so many times."""
 
     def __init__(self, times: int) -> None:
@@ -664,13 +664,13 @@
 def test_a_file_that_is_replaced_while_it_is_read_is_looked_for_again(tmp_path: Path) -> None:
     filled(tmp_path)
     (tmp_path / "cells.7.new").write_bytes(b"half")
-    seen = read_cells(str(tmp_path), Replacing(2))
+    seen = read_acceptor_store(str(tmp_path), Replacing(2))
     assert (seen.file, seen.identity) == ("cells.2", IdentityRecord("first", "a"))
     with pytest.raises(UnreadableFile):
-        read_cells(str(tmp_path), Replacing(100))
+        read_acceptor_store(str(tmp_path), Replacing(100))
     (tmp_path / "none").mkdir()
-    with pytest.raises(NoCells):
-        read_cells(str(tmp_path / "none"))
+    with pytest.raises(NoAcceptorFile):
+        read_acceptor_store(str(tmp_path / "none"))
 
 
 # ---- statuses of other landings
--- a/tests/configuration/test_key_lease.py
+++ b/tests/configuration/test_key_lease.py
@@ -14,68 +14,68 @@
 
 def test_none_is_needed_where_removed_keys_bind_machines_in_touch_alone() -> None:
     lease = KeyLease(None)
-    assert lease.holds(0)
-    assert not lease.wants_request(0)
+    assert lease.is_valid(0)
+    assert not lease.should_request(0)
 
 
 def test_nothing_is_honoured_before_the_first_answer() -> None:
     lease = KeyLease(DURATION_MS)
-    lease.in_force(3)
-    assert lease.wants_request(0)
-    number = lease.asks(0)
-    assert not lease.holds(1)
-    lease.granted(number, 3)
-    assert lease.holds(1)
+    lease.set_applied_sequence(3)
+    assert lease.should_request(0)
+    number = lease.record_request(0)
+    assert not lease.is_valid(1)
+    lease.handle_grant(number, 3)
+    assert lease.is_valid(1)
 
 
 def test_it_counts_from_the_question_not_from_the_answer() -> None:
     lease = KeyLease(DURATION_MS)
-    lease.in_force(3)
-    number = lease.asks(10 * S)
-    lease.granted(number, 3)  # however late it comes
-    assert lease.holds(10 * S + 4800 * MS)
-    assert not lease.holds(15 * S)
+    lease.set_applied_sequence(3)
+    number = lease.record_request(10 * S)
+    lease.handle_grant(number, 3)  # however late it comes
+    assert lease.is_valid(10 * S + 4800 * MS)
+    assert not lease.is_valid(15 * S)
 
 
 def test_a_newer_configuration_has_to_be_in_force_first() -> None:
     lease = KeyLease(DURATION_MS)
-    lease.in_force(3)
-    lease.granted(lease.asks(0), 4)
-    assert not lease.holds(1)
-    lease.in_force(4)
-    assert lease.holds(1)
-    lease.granted(lease.asks(2 * S), 6)
-    lease.in_force(5)
-    assert not lease.holds(5 * S)
+    lease.set_applied_sequence(3)
+    lease.handle_grant(lease.record_request(0), 4)
+    assert not lease.is_valid(1)
+    lease.set_applied_sequence(4)
+    assert lease.is_valid(1)
+    lease.handle_grant(lease.record_request(2 * S), 6)
+    lease.set_applied_sequence(5)
+    assert not lease.is_valid(5 * S)
 
 
 def test_an_answer_to_no_question_of_this_process_gives_nothing() -> None:
     lease = KeyLease(DURATION_MS)
-    lease.in_force(3)
-    lease.granted(1, 3)
-    assert not lease.holds(0)
+    lease.set_applied_sequence(3)
+    lease.handle_grant(1, 3)
+    assert not lease.is_valid(0)
 
 
 def test_it_is_renewed_early_and_asked_for_again_without_an_answer() -> None:
     lease = KeyLease(DURATION_MS)
-    lease.in_force(1)
-    lease.granted(lease.asks(0), 1)
-    assert not lease.wants_request(S)
-    assert lease.wants_request(2 * S)
-    lease.asks(2 * S)
-    assert lease.has_unanswered
-    assert not lease.wants_request(2 * S + 1)
-    assert lease.wants_request(2 * S + ASK_AGAIN_NS)
+    lease.set_applied_sequence(1)
+    lease.handle_grant(lease.record_request(0), 1)
+    assert not lease.should_request(S)
+    assert lease.should_request(2 * S)
+    lease.record_request(2 * S)
+    assert lease.has_pending_request
+    assert not lease.should_request(2 * S + 1)
+    assert lease.should_request(2 * S + ASK_AGAIN_NS)
 
 
 def test_questions_without_answers_are_bounded_and_the_newest_are_remembered() -> None:
     lease = KeyLease(DURATION_MS)
-    lease.in_force(1)
-    numbers = [lease.asks(at * S) for at in range(MOST_REQUESTS + 5)]
-    lease.granted(numbers[0], 1)
-    assert not lease.holds(1)
-    lease.granted(numbers[-1], 1)
-    assert lease.holds((MOST_REQUESTS + 5) * S)
+    lease.set_applied_sequence(1)
+    numbers = [lease.record_request(at * S) for at in range(MOST_REQUESTS + 5)]
+    lease.handle_grant(numbers[0], 1)
+    assert not lease.is_valid(1)
+    lease.handle_grant(numbers[-1], 1)
+    assert lease.is_valid((MOST_REQUESTS + 5) * S)
 
 
 EVENT = st.one_of(
@@ -93,21 +93,21 @@
     now, newest, in_force = 0, 0, 0
     acknowledged_at = {0: 0}
     asked: list[tuple[int, int]] = []  # request, and when the core reads
-    lease.in_force(0)
+    lease.set_applied_sequence(0)
     for (kind, value), pause_ms in events:
         now += pause_ms * MS
         if kind == "remove":
             newest += 1
             acknowledged_at[newest] = now
         elif kind == "ask":
-            asked.append((lease.asks(now), now + value * MS))
+            asked.append((lease.record_request(now), now + value * MS))
         elif kind == "deliver" and asked:
             number, read_at = asked.pop(value % len(asked))
             known = max(seq for seq, at in acknowledged_at.items() if at <= max(read_at, 0))
             now = max(now, read_at)
-            lease.granted(number, known)
+            lease.handle_grant(number, known)
         elif kind == "learn":
             in_force = newest
-            lease.in_force(in_force)
-        if lease.holds(now) and in_force < newest:
+            lease.set_applied_sequence(in_force)
+        if lease.is_valid(now) and in_force < newest:
             assert now - acknowledged_at[in_force + 1] <= DURATION_MS * MS
--- a/tests/controlplane/test_change_times.py
+++ b/tests/controlplane/test_change_times.py
@@ -7,7 +7,7 @@
 from iristrack.controlplane import changes, register_host
 from iristrack.controlplane.deciders import LEAST_ATTEMPT_NS, transfer_ns
 from iristrack.controlplane.operator_api import CALL_NS, MOST_BODY
-from iristrack.register import Pace, Proposer
+from iristrack.register import Proposer, RetryPolicy
 from iristrack.relay import topics
 from iristrack.runtime.scheduler import clock
 from tests.controlplane.test_operator_api import MEMBERS, Core
@@ -17,9 +17,9 @@
 
 
 @pytest.fixture
-def paces(monkeypatch: pytest.MonkeyPatch) -> list[Pace]:
+def paces(monkeypatch: pytest.MonkeyPatch) -> list[RetryPolicy]:
     """The pace of each proposer that a host makes."""
-    made: list[Pace] = []
+    made: list[RetryPolicy] = []
 
     class Seen(Proposer):
         def __init__(self, *arguments, **options) -> None:
--- a/tests/controlplane/test_member_changes.py
+++ b/tests/controlplane/test_member_changes.py
@@ -12,10 +12,10 @@
     Rejected,
     Unavailable,
     change_members,
+    membership_policy,
     removed,
     replaced,
     settled,
-    succession,
 )
 from iristrack.relay import topics
 from iristrack.runtime.scheduler import clock
@@ -117,8 +117,8 @@
     """The first one is connected and does nothing: frozen, slow, or cut off in a way that the others cannot see."""
     monkeypatch.setattr(member_changes, "TICK_NS", 1_000_000)
     monkeypatch.setattr(member_changes, "TURN_NS", 5_000_000)
-    monkeypatch.setattr(succession, "SILENT_NS", 1_000_000)
-    monkeypatch.setattr(succession, "REPORTED_NS", 1_000_000)
+    monkeypatch.setattr(membership_policy, "SILENCE_THRESHOLD_NS", 1_000_000)
+    monkeypatch.setattr(membership_policy, "REPLACEMENT_DELAY_NS", 1_000_000)
     core = Core()
     first, second, silent = MEMBERS
     changing(core, second, [first, second], {SPARE: DISK})
@@ -219,7 +219,7 @@
     changing(core, name, list(MEMBERS), {})
     core.run(lambda: wait_for(core, lambda: core.hosts[name].member_set == settled(shrinking)))
     for name in MEMBERS[:2]:
-        assert core.hosts[name].acceptor.cell(topics.CONFIGURATION).value == VALUE
+        assert core.hosts[name].acceptor.state(topics.CONFIGURATION).value == VALUE
     assert core.failures == []
 
 
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -16,7 +16,7 @@
 from iristrack.register import Committed, Overtaken, Rejected, Unavailable
 from iristrack.relay import topics
 from iristrack.runtime.scheduler import Scheduler, clock
-from iristrack.store.cell_format import encode_record
+from iristrack.store.acceptor_format import encode_record
 from iristrack.store.framing import TooLarge
 from iristrack.wire.messages import (
     FOUNDED,
@@ -203,7 +203,7 @@
         self.hosts: dict[str, RegisterHost] = {}
         self.told: list[Update] = []
         for name in members:
-            opened = SimpleNamespace(blobs={}, identity=None, cells={}, store=SimpleNamespace(node=name))
+            opened = SimpleNamespace(blobs={}, identity=None, registers={}, store=SimpleNamespace(node=name))
             host = RegisterHost(
                 self.scheduler,
                 name,
--- a/tests/controlplane/test_register_host.py
+++ b/tests/controlplane/test_register_host.py
@@ -7,11 +7,11 @@
 import pytest
 
 from iristrack.controlplane.register_host import DISK_BLOB, MEMBERS_BLOB, RegisterHost
-from iristrack.register import RECOVERY_KEY, Cell
+from iristrack.register import RECOVERY_KEY, RegisterState
 from iristrack.relay import topics
 from iristrack.simulation.virtual_machines import SilentLog, VirtualDisk, VirtualSync
 from iristrack.simulation.virtual_time import VirtualScheduler, World
-from iristrack.store.cells import CellRecord, IdentityRecord
+from iristrack.store.acceptor_store import IdentityRecord, RegisterRecord
 from iristrack.wire.messages import FOUNDED, Ballot, MembersValue, Prepare
 from iristrack.wire.values import encode_value
 
@@ -60,7 +60,7 @@
 
 def member_disk() -> VirtualDisk:
     disk = VirtualDisk()
-    cells = [CellRecord(key, ACCEPTED, ACCEPTED, key.encode()) for key in KEYS]
+    cells = [RegisterRecord(key, ACCEPTED, ACCEPTED, key.encode()) for key in KEYS]
     disk.keep([IdentityRecord("first", OWN), *cells])
     disk.blobs[MEMBERS_BLOB] = encode_value(FOUNDING_SET)
     return disk
@@ -87,7 +87,9 @@
     assert machine.host.voting
     assert machine.host.incarnation == "first"
     assert machine.host.member_set == sets[-1]
-    assert machine.host.acceptor.cell(topics.CONFIGURATION) == Cell(ACCEPTED, ACCEPTED, b"configuration")
+    assert machine.host.acceptor.state(topics.CONFIGURATION) == RegisterState(
+        ACCEPTED, ACCEPTED, b"configuration"
+    )
     assert machine.told == [sets[-1].sequence]
     answers = []
     machine.host.handle(prepare(sets[-1]), answers.append)
@@ -140,7 +142,7 @@
 
 def test_a_loss_of_power_while_what_was_recovered_is_written_leaves_no_vote_without_it() -> None:
     """The disk is that of a member which had been replaced and is let in again: its cells are old ones."""
-    recovered = (CellRecord(topics.CONFIGURATION, Ballot(9, "r"), Ballot(9, "r"), b"newer"),)
+    recovered = (RegisterRecord(topics.CONFIGURATION, Ballot(9, "r"), Ballot(9, "r"), b"newer"),)
     written = 0
     while True:
         disk = member_disk()
@@ -151,7 +153,7 @@
         disk.keep(records[:written])
         machine.start()
         if machine.host.voting:
-            assert machine.host.acceptor.cell(topics.CONFIGURATION).value == b"newer"
+            assert machine.host.acceptor.state(topics.CONFIGURATION).value == b"newer"
             assert machine.host.member_set == SETTLED_SET
         written += 1
         if written > len(records):
--- a/tests/dataplane/test_control_link.py
+++ b/tests/dataplane/test_control_link.py
@@ -283,17 +283,17 @@
     linked.link._ask_for_key_lease()
     assert lease_requests(first)
     assert lease_requests(second)
-    assert not stand.plane.key_lease.holds(clock())
+    assert not stand.plane.key_lease.is_valid(clock())
     linked.configure(7, 70)
     linked.link._on_message(first, KeyLeaseGrant(request.number, 7))
-    assert stand.plane.key_lease.holds(clock())
+    assert stand.plane.key_lease.is_valid(clock())
 
 
 def test_no_lease_is_asked_for_where_none_is_needed(linked: Linked) -> None:
     peer = meet(linked, linked.plane.settings.zone)
     linked.link._ask_for_key_lease()
     assert lease_requests(peer) == []
-    assert linked.plane.key_lease.holds(clock())
+    assert linked.plane.key_lease.is_valid(clock())
 
 
 def test_a_member_that_has_forgotten_when_weights_were_named_is_told_with_the_next_heartbeats(
--- a/tests/dataplane/test_key_lease.py
+++ b/tests/dataplane/test_key_lease.py
@@ -24,13 +24,13 @@
 def keyed(stand: Stand) -> Stand:
     stand.configure(document(tenants=KEYED))
     stand.plane.key_lease = KeyLease(60_000)
-    stand.plane.key_lease.in_force(1)
+    stand.plane.key_lease.set_applied_sequence(1)
     return stand
 
 
 def grant(stand: Stand, age_ns: int = 0) -> None:
     lease = stand.plane.key_lease
-    lease.granted(lease.asks(clock() - age_ns), 1)
+    lease.handle_grant(lease.record_request(clock() - age_ns), 1)
 
 
 @pytest.mark.parametrize("key", ["k-north", "unknown", None])
--- a/tests/dataplane/test_start_gate.py
+++ b/tests/dataplane/test_start_gate.py
@@ -50,12 +50,12 @@
 def test_a_request_waits_for_the_configuration_the_servers_and_the_lease(stand: Stand) -> None:
     empty(stand).plane.key_lease = KeyLease(60_000)
     lease = stand.plane.key_lease
-    lease.in_force(1)
+    lease.set_applied_sequence(1)
     received = ask_and_then(
         stand,
         lambda: stand.configure(document()),
         lambda: stand.serve(http.response(200, b"answer", SEALED)),
-        lambda: lease.granted(lease.asks(clock()), 1),
+        lambda: lease.handle_grant(lease.record_request(clock()), 1),
     )
     assert (received.status, received.body) == (200, b"answer")
     assert stand.plane.start_gate.open
--- a/tests/register/test_acceptor.py
+++ b/tests/register/test_acceptor.py
@@ -4,14 +4,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from iristrack.register import RECOVERY_KEY, Acceptor, Cell, CellRecord
+from iristrack.register import RECOVERY_KEY, Acceptor, RegisterRecord, RegisterState
 from iristrack.wire.messages import NO_BALLOT, Accept, Ballot, Prepare
 
 KEY = "config"
 LOW, MIDDLE, HIGH = Ballot(1, "p"), Ballot(2, "p"), Ballot(3, "p")
 
 
-def acceptor(cells: dict[str, Cell] | None = None, voting: bool = True) -> Acceptor:
+def acceptor(cells: dict[str, RegisterState] | None = None, voting: bool = True) -> Acceptor:
     return Acceptor("core0", "disk1", cells or {}, voting, keys=(KEY,))
 
 
@@ -20,15 +20,15 @@
 
 
 def test_a_promise_echoes_the_call_and_tells_what_was_accepted() -> None:
-    outcome = acceptor({KEY: Cell(LOW, LOW, b"old")}).handle_prepare(Prepare(9, KEY, MIDDLE))
-    assert outcome.record == CellRecord(KEY, MIDDLE, LOW, b"old")
+    outcome = acceptor({KEY: RegisterState(LOW, LOW, b"old")}).handle_prepare(Prepare(9, KEY, MIDDLE))
+    assert outcome.record == RegisterRecord(KEY, MIDDLE, LOW, b"old")
     reply = outcome.reply
     assert (reply.call, reply.key, reply.acceptor, reply.incarnation) == (9, KEY, "core0", "disk1")
     assert (reply.granted, reply.promised, reply.accepted, reply.value) == (True, MIDDLE, LOW, b"old")
 
 
 def test_a_lower_ballot_is_refused_without_a_write_and_told_why() -> None:
-    core = acceptor({KEY: Cell(HIGH)})
+    core = acceptor({KEY: RegisterState(HIGH)})
     for outcome in (core.handle_prepare(Prepare(1, KEY, MIDDLE)), core.handle_accept(accept(MIDDLE))):
         assert outcome.record is None
         assert not outcome.reply.granted
@@ -36,7 +36,7 @@
 
 
 def test_of_equal_rounds_the_greater_proposer_name_is_later() -> None:
-    core = acceptor({KEY: Cell(Ballot(2, "b"))})
+    core = acceptor({KEY: RegisterState(Ballot(2, "b"))})
     assert not core.handle_prepare(Prepare(1, KEY, Ballot(2, "a"))).reply.granted
     assert core.handle_prepare(Prepare(1, KEY, Ballot(2, "c"))).reply.granted
 
@@ -54,7 +54,7 @@
 
 
 def test_one_that_is_replaced_lets_one_disk_be_filled_and_accepts_nothing() -> None:
-    core = acceptor({KEY: Cell(LOW, LOW, b"old")})
+    core = acceptor({KEY: RegisterState(LOW, LOW, b"old")})
     core.serve_successor(2, "named")
     first, second, later = Ballot(5, "d/1"), Ballot(9, "d/2"), Ballot(11, "d/3")
     for disk in ("", "other"):
@@ -70,26 +70,26 @@
 
 
 def test_one_that_is_replaced_serves_nobody_where_the_set_names_no_disk() -> None:
-    core = acceptor({KEY: Cell(LOW, LOW, b"old")})
+    core = acceptor({KEY: RegisterState(LOW, LOW, b"old")})
     core.serve_successor(2, "")
     for disk in ("", "any"):
         assert not core.handle_prepare(Prepare(1, RECOVERY_KEY, Ballot(5, "d/1"), 2, disk)).reply.granted
 
 
 def test_an_accept_is_recorded_with_its_ballot_as_promise() -> None:
-    outcome = acceptor({KEY: Cell(LOW)}).handle_accept(accept(MIDDLE, "disk1", b"new"))
-    assert outcome.record == CellRecord(KEY, MIDDLE, MIDDLE, b"new")
+    outcome = acceptor({KEY: RegisterState(LOW)}).handle_accept(accept(MIDDLE, "disk1", b"new"))
+    assert outcome.record == RegisterRecord(KEY, MIDDLE, MIDDLE, b"new")
     assert outcome.reply.granted
 
 
 def test_an_accept_for_another_incarnation_is_refused() -> None:
-    outcome = acceptor({KEY: Cell(MIDDLE)}).handle_accept(accept(MIDDLE, "disk0"))
+    outcome = acceptor({KEY: RegisterState(MIDDLE)}).handle_accept(accept(MIDDLE, "disk0"))
     assert outcome.record is None
     assert not outcome.reply.granted
 
 
 def test_an_accept_without_incarnation_goes_by_its_ballot() -> None:
-    core = acceptor({KEY: Cell(MIDDLE)})
+    core = acceptor({KEY: RegisterState(MIDDLE)})
     assert not core.handle_accept(accept(LOW)).reply.granted
     assert core.handle_accept(accept(HIGH)).reply.granted
 
@@ -98,7 +98,7 @@
     core = acceptor()
     before = core.incarnation
     announced = core.handle_prepare(Prepare(1, RECOVERY_KEY, LOW))
-    assert announced.record == CellRecord(RECOVERY_KEY, LOW, NO_BALLOT, b"")
+    assert announced.record == RegisterRecord(RECOVERY_KEY, LOW, NO_BALLOT, b"")
     assert announced.reply.incarnation == core.incarnation != before
     assert not core.handle_accept(accept(HIGH, before)).reply.granted
     assert core.handle_prepare(Prepare(2, KEY, LOW)).reply.incarnation == core.incarnation
@@ -107,7 +107,7 @@
 def test_the_incarnation_told_survives_a_restart() -> None:
     core = acceptor()
     core.handle_prepare(Prepare(1, RECOVERY_KEY, LOW))
-    restarted = acceptor({RECOVERY_KEY: core.cell(RECOVERY_KEY)})
+    restarted = acceptor({RECOVERY_KEY: core.state(RECOVERY_KEY)})
     assert restarted.incarnation == core.incarnation
 
 
@@ -126,7 +126,7 @@
 
 
 def test_a_non_voting_acceptor_gives_no_vote() -> None:
-    core = acceptor({KEY: Cell(LOW, LOW, b"v")}, voting=False)
+    core = acceptor({KEY: RegisterState(LOW, LOW, b"v")}, voting=False)
     assert_gives_no_vote(core, KEY)
     assert_gives_no_vote(core, RECOVERY_KEY)
 
@@ -149,8 +149,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.disk: dict[str, Cell] = {}
-        self.unsynced: list[tuple[CellRecord | None, Ballot]] = []
+        self.disk: dict[str, RegisterState] = {}
+        self.unsynced: list[tuple[RegisterRecord | None, Ballot]] = []
         self.core = acceptor()
         self.released = NO_BALLOT  # the highest ballot that an answer on its way has bound us to
 
@@ -176,7 +176,7 @@
     def sync_one(self) -> None:
         if self.unsynced:
             record, ballot = self.unsynced.pop(0)
-            self.disk[record.key] = Cell(record.promised, record.accepted, record.value)
+            self.disk[record.key] = RegisterState(record.promised, record.accepted, record.value)
             self.released = max(self.released, ballot)
 
     @rule()
@@ -186,7 +186,7 @@
 
     @invariant()
     def memory_is_bound_by_all_released_answers(self) -> None:
-        cell = self.core.cell(KEY)
+        cell = self.core.state(KEY)
         assert cell.promised >= self.released
         assert cell.accepted <= cell.promised
 
@@ -198,7 +198,7 @@
 
 
 def test_a_value_that_the_sender_knows_is_not_sent_and_another_is() -> None:
-    core = acceptor({KEY: Cell(LOW, LOW, b"old")})
+    core = acceptor({KEY: RegisterState(LOW, LOW, b"old")})
     for known, value in ((LOW, b""), (NO_BALLOT, b"old"), (MIDDLE, b"old")):
         reply = core.handle_prepare(Prepare(1, KEY, HIGH, known=known)).reply
         assert (reply.granted, reply.accepted, reply.value) == (True, LOW, value)
--- a/tests/register/test_member_set.py
+++ b/tests/register/test_member_set.py
@@ -6,7 +6,6 @@
 
 from iristrack.register import (
     Acceptor,
-    Cell,
     Committed,
     Finished,
     MemberSetError,
@@ -14,6 +13,7 @@
     ProposerIdentity,
     Recovery,
     Refuse,
+    RegisterState,
     SendTo,
     Unchanged,
     added,
@@ -23,7 +23,7 @@
     replaced,
     settled,
 )
-from iristrack.register.member_set import MOST_MEMBERS, SET_DIFFERS
+from iristrack.register.member_set import MAX_MEMBERS, SET_DIFFERS
 from iristrack.simulation.register import Scenario, run_seed, with_member_changes
 from iristrack.wire.messages import FOUNDED, NO_BALLOT, Accept, Ballot, MembersValue, Prepare, Promise
 from iristrack.wire.values import decode_value, encode_value
@@ -73,9 +73,9 @@
 
 def test_a_set_has_a_bound() -> None:
     members = FIRST
-    for index in range(MOST_MEMBERS - 3):
+    for index in range(MAX_MEMBERS - 3):
         members = settled(added(members, f"more{index}"))
-    assert len(members.members) == MOST_MEMBERS
+    assert len(members.members) == MAX_MEMBERS
     with pytest.raises(MemberSetError):
         added(members, "one-more")
     with pytest.raises(MemberSetError):
@@ -153,7 +153,7 @@
 
     def __init__(self, members: MembersValue) -> None:
         self.members = members
-        held = {KEY: Cell(Ballot(1, "p"), Ballot(1, "p"), b"old")}
+        held = {KEY: RegisterState(Ballot(1, "p"), Ballot(1, "p"), b"old")}
         names = (*members.members, members.leaving)
         self.acceptors = {
             name: Acceptor(name, f"{name}-disk", held, True, keys=(KEY,), member_sequence=members.sequence)
@@ -187,14 +187,14 @@
         recovered = self.carry(recovery, reached)
         if recovered is None:
             return False
-        cells = {r.key: Cell(r.promised, r.accepted, r.value) for r in recovered.records}
+        cells = {r.key: RegisterState(r.promised, r.accepted, r.value) for r in recovered.records}
         sequence = self.members.sequence
         self.acceptors[name] = Acceptor(name, process, cells, True, keys=(KEY,), member_sequence=sequence)
         return True
 
     def change(self, wanted: bytes, reached: set[str]) -> object:
         identity = ProposerIdentity(f"p-{wanted.decode()}")
-        identity.saw(KEY, Ballot(20, "p"))  # above all that was promised
+        identity.observe(KEY, Ballot(20, "p"))  # above all that was promised
         identity.incarnations.update({name: core.incarnation for name, core in self.acceptors.items()})
         return self.carry(
             Proposer(identity, KEY, self.members, lambda value: wanted, random.Random(1), 10**12), reached
@@ -208,7 +208,7 @@
     del group.acceptors["d"]
     assert not group.recover("second", {"a", "c"})
     assert group.recover("third", {"a", "b", "c"})
-    assert group.acceptors["d"].cell(KEY).value == b"new"
+    assert group.acceptors["d"].state(KEY).value == b"new"
 
 
 def test_a_newcomer_that_voted_without_the_one_it_replaced_does_not_read_from_it_later() -> None:
@@ -224,7 +224,7 @@
     group = Round(replaced(FIRST, "a", "d", "its-disk"))
     assert not group.recover("first", {"a"}, "its-disk")
     assert group.recover("second", {"a", "c"}, "its-disk")
-    assert group.acceptors["d"].cell(KEY).value == b"old"
+    assert group.acceptors["d"].state(KEY).value == b"old"
 
 
 def test_a_newcomer_whose_disk_is_not_named_reads_from_the_others_alone() -> None:
--- a/tests/register/test_member_set_walks.py
+++ b/tests/register/test_member_set_walks.py
@@ -16,13 +16,13 @@
 from iristrack.register import (
     RECOVERY_KEY,
     Acceptor,
-    Cell,
     Committed,
     Finished,
     MemberSetError,
     Proposer,
     ProposerIdentity,
     Recovery,
+    RegisterState,
     SendTo,
     Unchanged,
     added,
@@ -88,7 +88,7 @@
 
     # ---- plumbing
 
-    def _vote(self, name: str, cells: dict[str, Cell]) -> None:
+    def _vote(self, name: str, cells: dict[str, RegisterState]) -> None:
         machine = self.machines[name]
         sequence = self.members.sequence
         machine.acceptor = Acceptor(name, machine.disk, cells, True, keys=(KEY,), member_sequence=sequence)
@@ -98,7 +98,7 @@
         self.round += BALLOT_STEP
         identity = ProposerIdentity(f"{name}/{self.round}", self.round)
         for key in (KEY, RECOVERY_KEY):
-            identity.saw(key, Ballot(self.round, ""))
+            identity.observe(key, Ballot(self.round, ""))
         known = {name: m.acceptor.incarnation for name, m in self.machines.items() if m.acceptor}
         identity.incarnations.update(known)
         return identity
@@ -280,7 +280,7 @@
         able = self._some(self._voting | ({self.members.leaving} - {""}), recovery.quorum)
         recovered = self._deliver(recovery, recovery.start(0), able)
         if not isinstance(recovered, list):
-            cells = {r.key: Cell(r.promised, r.accepted, r.value) for r in recovered.records}
+            cells = {r.key: RegisterState(r.promised, r.accepted, r.value) for r in recovered.records}
             self._vote(machine.name, cells)
 
     def settle(self) -> None:
--- a/tests/register/test_newest_read.py
+++ b/tests/register/test_newest_read.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from iristrack.register.newest_read import NewestRead
+from iristrack.register.newest_read import NewestSequenceRead
 from iristrack.wire.messages import MembersValue, NewestAnswer
 
 MEMBERS = MembersValue(4, ("a:1", "b:1", "c:1", "d:1", "e:1"))
@@ -17,10 +17,10 @@
 
 
 def test_the_highest_answer_of_a_majority_counts() -> None:
-    read = NewestRead(7, MEMBERS)
-    assert read.answered(answer("a:1", 3)) is None
-    assert read.answered(answer("b:1", 5)) is None
-    assert read.answered(answer("c:1", 3)) == 5
+    read = NewestSequenceRead(7, MEMBERS)
+    assert read.handle_answer(answer("a:1", 3)) is None
+    assert read.handle_answer(answer("b:1", 5)) is None
+    assert read.handle_answer(answer("c:1", 3)) == 5
 
 
 @pytest.mark.parametrize(
@@ -29,16 +29,16 @@
     ids=["no member", "another question", "another member set", "the same one again"],
 )
 def test_other_answers_do_not_count(odd: NewestAnswer) -> None:
-    read = NewestRead(7, MEMBERS)
-    read.answered(answer("a:1", 3))
-    assert read.answered(odd) is None
-    assert read.answered(answer("d:1", 3)) is None
-    assert read.answered(answer("e:1", 4)) == 4
+    read = NewestSequenceRead(7, MEMBERS)
+    read.handle_answer(answer("a:1", 3))
+    assert read.handle_answer(odd) is None
+    assert read.handle_answer(answer("d:1", 3)) is None
+    assert read.handle_answer(answer("e:1", 4)) == 4
 
 
 def test_no_majority_misses_what_another_majority_has_accepted() -> None:
     for accepting in itertools.combinations(MEMBERS.members, 3):
         for answering in itertools.permutations(MEMBERS.members, 3):
-            read = NewestRead(7, MEMBERS)
-            told = [read.answered(answer(name, 8 if name in accepting else 2)) for name in answering]
+            read = NewestSequenceRead(7, MEMBERS)
+            told = [read.handle_answer(answer(name, 8 if name in accepting else 2)) for name in answering]
             assert told[-1] == 8
--- a/tests/register/test_proposer.py
+++ b/tests/register/test_proposer.py
@@ -7,16 +7,16 @@
 from iristrack.register import (
     RECOVERY_KEY,
     Acceptor,
-    Cell,
     Committed,
     Effect,
     Finished,
     Overtaken,
-    Pace,
     Proposer,
     ProposerIdentity,
     Refuse,
+    RegisterState,
     Rejected,
+    RetryPolicy,
     SendTo,
     SetTimer,
     Unavailable,
@@ -37,7 +37,7 @@
 MEMBERS = ("core0", "core1", "core2")
 MEMBER_SET = MembersValue(FOUNDED, MEMBERS)
 DEADLINE = 10_000_000_000
-PACE = Pace(attempt_timeout_ns=1_000, first_rest_ns=10, longest_rest_ns=100, most_attempts=4)
+PACE = RetryPolicy(attempt_timeout_ns=1_000, initial_backoff_ns=10, max_backoff_ns=100, max_attempts=4)
 
 
 class CompareAndSet:
@@ -204,7 +204,7 @@
     proposer = group.proposer("p", CompareAndSet(b"", b"one"))
     effects = group.pump(proposer, proposer.start(0))
     resting = timers(effects)[-1]
-    assert 1 < resting <= 1 + PACE.first_rest_ns
+    assert 1 < resting <= 1 + PACE.initial_backoff_ns
     group.pump(proposer, proposer.on_timer(resting))
     assert proposer.result == Committed(b"one", Ballot(51, "p"))
 
@@ -273,7 +273,7 @@
         effects = group.pump(proposer, proposer.on_timer(timers(effects)[-1]), members=MEMBERS[:1])
         prepares += len(sends(effects, Prepare))
     assert proposer.result == Unavailable(in_doubt=False)
-    assert prepares == 2 * PACE.most_attempts
+    assert prepares == 2 * PACE.max_attempts
 
 
 def test_the_deadline_ends_the_change_and_tells_whether_it_is_in_doubt() -> None:
@@ -301,7 +301,7 @@
 
 
 def test_a_value_that_is_held_here_is_read_from_here_and_a_newer_one_from_the_promise() -> None:
-    held = Cell(Ballot(1, "q"), Ballot(1, "q"), b"held")
+    held = RegisterState(Ballot(1, "q"), Ballot(1, "q"), b"held")
     for accepted, told, read in ((Ballot(1, "q"), b"", b"held"), (Ballot(2, "q"), b"newer", b"newer")):
         seen = []
         identity = ProposerIdentity("p")
@@ -313,7 +313,7 @@
             lambda value, seen=seen: seen.append(value) or Unchanged(),
             random.Random(1),
             DEADLINE,
-            held=lambda: held,
+            read_local=lambda: held,
         )
         prepare = next(effect.message for effect in proposer.start(0) if isinstance(effect, SendTo))
         assert prepare.known == held.accepted
--- a/tests/register/test_recovery.py
+++ b/tests/register/test_recovery.py
@@ -8,8 +8,6 @@
 from iristrack.register import (
     RECOVERY_KEY,
     Acceptor,
-    Cell,
-    CellRecord,
     Committed,
     Effect,
     Finished,
@@ -17,7 +15,9 @@
     ProposerIdentity,
     Recovered,
     Recovery,
-    RecoveryPace,
+    RecoveryRetryPolicy,
+    RegisterRecord,
+    RegisterState,
     Rejected,
     SendTo,
     SetTimer,
@@ -35,20 +35,22 @@
 LOST = "core0"
 OLD, NEW = Ballot(3, "p"), Ballot(5, "q")
 DEADLINE = 10**12
-PACE = RecoveryPace(first_wait_ns=100, longest_wait_ns=400, too_few_wait_ns=50)
+PACE = RecoveryRetryPolicy(initial_read_timeout_ns=100, max_read_timeout_ns=400, announce_retry_ns=50)
 
 
 class Group:
     """Acceptors of which the first one has lost its disk; the test carries each message."""
 
-    def __init__(self, members: tuple[str, ...] = MEMBERS, cells: dict[str, dict[str, Cell]] | None = None):
+    def __init__(
+        self, members: tuple[str, ...] = MEMBERS, cells: dict[str, dict[str, RegisterState]] | None = None
+    ):
         self.members = members
         held = cells or {}
         self.acceptors = {
             name: Acceptor(name, f"{name}-disk", held.get(name, {}), True, keys=KEYS) for name in members
         }
 
-    def recovery(self, pace: RecoveryPace = PACE) -> Recovery:
+    def recovery(self, pace: RecoveryRetryPolicy = PACE) -> Recovery:
         return Recovery(
             LOST,
             ProposerIdentity("core0-new"),
@@ -80,17 +82,19 @@
     def recover(self) -> None:
         recovery = self.recovery()
         records = records_of(self.pump(recovery, recovery.start(0)))
-        cells = {record.key: Cell(record.promised, record.accepted, record.value) for record in records}
+        cells = {
+            record.key: RegisterState(record.promised, record.accepted, record.value) for record in records
+        }
         self.acceptors[LOST] = Acceptor(LOST, "core0-second-disk", cells, True, keys=KEYS)
 
 
-def records_of(effects: list[Effect]) -> tuple[CellRecord, ...]:
+def records_of(effects: list[Effect]) -> tuple[RegisterRecord, ...]:
     (finished,) = [effect for effect in effects if isinstance(effect, Finished)]
     assert isinstance(finished.result, Recovered)
     return finished.result.records
 
 
-def by_key(records: tuple[CellRecord, ...]) -> dict[str, CellRecord]:
+def by_key(records: tuple[RegisterRecord, ...]) -> dict[str, RegisterRecord]:
     return {record.key: record for record in records}
 
 
@@ -105,8 +109,8 @@
 def test_the_newest_value_is_adopted_under_a_ballot_above_all_promised() -> None:
     group = Group(
         cells={
-            "core1": {"config": Cell(Ballot(9, "z"), OLD, b"old")},
-            "core2": {"config": Cell(NEW, NEW, b"new")},
+            "core1": {"config": RegisterState(Ballot(9, "z"), OLD, b"old")},
+            "core2": {"config": RegisterState(NEW, NEW, b"new")},
         }
     )
     recovery = group.recovery()
@@ -114,7 +118,7 @@
     assert record.value == b"new"
     assert record.promised == record.accepted > Ballot(9, "z")
     for other in ("core1", "core2"):
-        assert group.acceptors[other].cell("config").promised == record.promised
+        assert group.acceptors[other].state("config").promised == record.promised
 
 
 def test_a_key_never_written_gets_a_promise_only() -> None:
@@ -199,8 +203,8 @@
 
 @pytest.mark.parametrize(("catch_up_s", "most_s"), [(1, 0.7), (4, 1.4), (6, 2.0), (60, 2.0)])
 def test_a_try_falls_well_within_the_time_to_catch_up(catch_up_s: int, most_s: float) -> None:
-    pace = RecoveryPace.within(catch_up_s * 10**9)
-    assert 2 * pace.too_few_wait_ns <= most_s * 10**9
+    pace = RecoveryRetryPolicy.for_catch_up(catch_up_s * 10**9)
+    assert 2 * pace.announce_retry_ns <= most_s * 10**9
 
 
 def test_one_member_alone_is_too_few_to_recover() -> None:
@@ -209,7 +213,7 @@
 
 
 def test_of_two_members_one_recovers_what_both_decided_from_the_other_and_from_nobody_else() -> None:
-    chosen = Cell(OLD, OLD, b"chosen")
+    chosen = RegisterState(OLD, OLD, b"chosen")
     pair = ("core0", "core1")
     group = Group(pair, {name: {"config": chosen} for name in pair})
     group.lose_disk()
@@ -265,7 +269,7 @@
     known = {core.name: core.incarnation for core in group.acceptors.values()}
     identity = ProposerIdentity("slow")
     identity.incarnations = dict(known)
-    identity.saw("config", Ballot(20, ""))
+    identity.observe("config", Ballot(20, ""))
     slow = kind(identity, "config", MEMBER_SET, CompareAndSet(b"", b"slow"), random.Random(1), DEADLINE)
     to_lost, under_way, _ = slow.start(0)[:3]
     slow.handle(group.answer(to_lost), 1)
@@ -273,7 +277,7 @@
     group.lose_disk()
     group.recover()
     quick_identity = ProposerIdentity("quick")
-    quick_identity.saw("config", Ballot(10, ""))
+    quick_identity.observe("config", Ballot(10, ""))
     quick_identity.incarnations = {core.name: core.incarnation for core in group.acceptors.values()}
     quick = Proposer(
         quick_identity, "config", MEMBER_SET, CompareAndSet(b"", b"quick"), random.Random(2), DEADLINE
--- a/tests/simulation/test_control.py
+++ b/tests/simulation/test_control.py
@@ -10,7 +10,7 @@
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.dataplane.core_view import CoreView
 from iristrack.engines.named_weights import NamedWeights
-from iristrack.register import RecoveryPace, Refuse, Unchanged
+from iristrack.register import RecoveryRetryPolicy, Refuse, Unchanged
 from iristrack.relay.catch_up import CatchUp
 from iristrack.simulation.control import SCENARIOS, Scenario, first_violation, main, run_seed
 from iristrack.simulation.control_referee import Order, Referee
@@ -72,8 +72,8 @@
 
 
 def test_a_member_that_waits_long_between_tries_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    slow = RecoveryPace(too_few_wait_ns=8_000_000_000)
-    monkeypatch.setattr(RecoveryPace, "within", classmethod(lambda cls, catch_up_ns: slow))
+    slow = RecoveryRetryPolicy(announce_retry_ns=8_000_000_000)
+    monkeypatch.setattr(RecoveryRetryPolicy, "for_catch_up", classmethod(lambda cls, catch_up_ns: slow))
     violations = run_seed(SCENARIOS["restarts"], 4).violations
     assert any("no majority votes" in violation for violation in violations)
 
--- a/tests/state/disk.py
+++ b/tests/state/disk.py
@@ -26,7 +26,7 @@
 
 @dataclass
 class Failing:
-    """Implements the store's `Files`. `fail_at` is the number of the call that fails, in the way `how`."""
+    """Implements the store's `FileSystem`. `fail_at` is the number of the call that fails, in the way `how`."""
 
     fail_at: int = -1
     how: str = "EIO"
--- a/tests/state/test_cells.py
+++ b/tests/state/test_acceptor_store.py
@@ -11,20 +11,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.store import cell_format, cells
-from iristrack.store.cells import (
+from iristrack.store import acceptor_format, acceptor_store
+from iristrack.store.acceptor_store import (
     BlobRecord,
-    CellRecord,
     FolderBusy,
     ForeignFolder,
     IdentityRecord,
     MissingIdentity,
     NewerFormat,
-    OpenedCells,
+    OpenedAcceptorStore,
+    RegisterRecord,
     StoreFull,
     TooLarge,
     UnreadableFile,
-    open_cells,
+    open_acceptor_store,
 )
 from iristrack.store.framing import Verdict
 from iristrack.wire.messages import NO_BALLOT, Ballot
@@ -34,25 +34,25 @@
 SEEDS = range(6)
 
 
-def cell(key: str, number: int, size: int = 10) -> CellRecord:
-    return CellRecord(key, Ballot(number, "a"), Ballot(number - 1, "b"), bytes([number % 256]) * size)
+def cell(key: str, number: int, size: int = 10) -> RegisterRecord:
+    return RegisterRecord(key, Ballot(number, "a"), Ballot(number - 1, "b"), bytes([number % 256]) * size)
 
 
-def held(opened: OpenedCells) -> dict[object, object]:
+def held(opened: OpenedAcceptorStore) -> dict[object, object]:
     """Everything that was found, by slot."""
-    found = dict(opened.cells)
+    found = dict(opened.registers)
     found |= {f"blob {name}": value for name, value in opened.blobs.items()}
     return found
 
 
-def kept(folder: Path) -> OpenedCells:
-    opened = open_cells(str(folder), "a")
+def kept(folder: Path) -> OpenedAcceptorStore:
+    opened = open_acceptor_store(str(folder), "a")
     opened.store.close()
     return opened
 
 
-def began(folder: Path) -> OpenedCells:
-    opened = open_cells(str(folder), "a")
+def began(folder: Path) -> OpenedAcceptorStore:
+    opened = open_acceptor_store(str(folder), "a")
     opened.store.append([OWNER])
     return opened
 
@@ -62,7 +62,7 @@
 
 
 def test_an_empty_folder_has_no_owner_and_takes_records_only_with_one(tmp_path: Path) -> None:
-    opened = open_cells(str(tmp_path / "new"), "a")
+    opened = open_acceptor_store(str(tmp_path / "new"), "a")
     assert opened.identity is None and held(opened) == {} and opened.notes == []
     with pytest.raises(MissingIdentity):
         opened.store.append([cell("k", 1)])
@@ -75,14 +75,14 @@
     store = began(tmp_path).store
     store.append([cell("k", 1), cell("j", 2), BlobRecord("members", b"one"), BlobRecord("k", b"no cell")])
     store.append([cell("k", 3), cell("k", 4), BlobRecord("members", b"two")])
-    store.append([CellRecord("", NO_BALLOT, NO_BALLOT, b"")])
+    store.append([RegisterRecord("", NO_BALLOT, NO_BALLOT, b"")])
     store.close()
     opened = kept(tmp_path)
     assert opened.identity == OWNER and opened.notes == []
-    assert opened.cells == {
+    assert opened.registers == {
         "k": cell("k", 4),
         "j": cell("j", 2),
-        "": CellRecord("", NO_BALLOT, NO_BALLOT, b""),
+        "": RegisterRecord("", NO_BALLOT, NO_BALLOT, b""),
     }
     assert opened.blobs == {"members": b"two", "k": b"no cell"}
 
@@ -96,17 +96,17 @@
     store.close()
     data = newest(tmp_path).read_bytes()
     for length in range(begun, len(data)):
-        contents = cell_format.read_contents(data[:length])
-        assert contents.identity != second or contents.cells == {"k": cell("k", 2)}
-    assert cell_format.read_contents(data).identity == second
+        contents = acceptor_format.read_contents(data[:length])
+        assert contents.identity != second or contents.registers == {"k": cell("k", 2)}
+    assert acceptor_format.read_contents(data).identity == second
 
 
 def test_bounds_are_kept_and_a_refused_record_spoils_nothing(tmp_path: Path) -> None:
     store = began(tmp_path).store
-    largest = CellRecord("k", Ballot(2**62, "p" * 4096), Ballot(2**62, "q" * 4096), bytes(8 << 20))
+    largest = RegisterRecord("k", Ballot(2**62, "p" * 4096), Ballot(2**62, "q" * 4096), bytes(8 << 20))
     store.append([largest])
     for record in (
-        CellRecord("k", NO_BALLOT, NO_BALLOT, bytes((8 << 20) + 1)),
+        RegisterRecord("k", NO_BALLOT, NO_BALLOT, bytes((8 << 20) + 1)),
         BlobRecord("b", bytes((8 << 20) + 1)),
         cell("k" * 4097, 1),
         BlobRecord("é" * 2049, b""),
@@ -116,18 +116,18 @@
             store.append([cell("j", 1), record])
     store.append([cell("i", 1)])
     store.close()
-    assert kept(tmp_path).cells == {"k": largest, "i": cell("i", 1)}
+    assert kept(tmp_path).registers == {"k": largest, "i": cell("i", 1)}
 
 
 def test_live_records_over_their_bound_are_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(cells, "MOST_LIVE_BYTES", 3000)
+    monkeypatch.setattr(acceptor_store, "MOST_LIVE_BYTES", 3000)
     store = began(tmp_path).store
     store.append([cell("a", 1, 1000), cell("b", 1, 1000)])
     with pytest.raises(StoreFull):
         store.append([cell("c", 1, 1000)])
     store.append([cell("b", 2, 1000)])
     store.close()
-    assert kept(tmp_path).cells == {"a": cell("a", 1, 1000), "b": cell("b", 2, 1000)}
+    assert kept(tmp_path).registers == {"a": cell("a", 1, 1000), "b": cell("b", 2, 1000)}
 
 
 def test_a_long_file_is_rewritten_and_stays_in_proportion(tmp_path: Path) -> None:
@@ -139,11 +139,13 @@
         store.append([record])
         names |= {path.name for path in tmp_path.glob("cells.*")}
         assert store.file_bytes == newest(tmp_path).stat().st_size
-        assert store.file_bytes <= max(cells.REWRITE_BYTES, cells.REWRITE_FACTOR * store.live_bytes)
+        assert store.file_bytes <= max(
+            acceptor_store.REWRITE_BYTES, acceptor_store.REWRITE_FACTOR * store.live_bytes
+        )
     assert 3 <= len(names) <= 20, "rewritten now and then, not at each append"
     assert sorted(os.listdir(tmp_path)) == [newest(tmp_path).name, "lock"]
     store.close()
-    assert kept(tmp_path).cells == live and kept(tmp_path).identity == OWNER
+    assert kept(tmp_path).registers == live and kept(tmp_path).identity == OWNER
 
 
 def test_a_file_of_much_live_content_is_not_rewritten_before_four_times_that(tmp_path: Path) -> None:
@@ -153,7 +155,7 @@
     while newest(tmp_path).name == first:
         before = store.file_bytes
         store.append([cell("k0", 2, 200_000)])
-    assert before + 201_000 > cells.REWRITE_FACTOR * store.live_bytes > before
+    assert before + 201_000 > acceptor_store.REWRITE_FACTOR * store.live_bytes > before
     store.close()
 
 
@@ -170,7 +172,7 @@
         tried.append(after)
         try:
             if opened is None:
-                opened = open_cells("f", "a", files)
+                opened = open_acceptor_store("f", "a", files)
             if opened.identity is None and n < 2:
                 opened.store.append([OWNER])
             opened.store.append(records)
@@ -190,8 +192,8 @@
 @pytest.fixture
 def short_files(monkeypatch: pytest.MonkeyPatch) -> None:
     """Files that are rewritten every few appends."""
-    monkeypatch.setattr(cells, "REWRITE_BYTES", 3000)
-    monkeypatch.setattr(cells, "REWRITE_FACTOR", 2)
+    monkeypatch.setattr(acceptor_store, "REWRITE_BYTES", 3000)
+    monkeypatch.setattr(acceptor_store, "REWRITE_FACTOR", 2)
 
 
 def owed(found: dict[object, object], done: list[dict], tried: list[dict]) -> bool:
@@ -223,12 +225,12 @@
         assert died == ("crash" in how)
         for seed in SEEDS:
             after = files.crash(seed)
-            opened = open_cells("f", "a", after)
+            opened = open_acceptor_store("f", "a", after)
             assert owed(held(opened), done, tried), (how, at, seed)
             assert opened.identity == OWNER or not done, (how, at, seed)
             opened.store.append([OWNER, cell("next", 1)])
-            again = open_cells("f", "a", after.crash(seed + 100))
-            assert again.cells["next"] == cell("next", 1), (how, at, seed)
+            again = open_acceptor_store("f", "a", after.crash(seed + 100))
+            assert again.registers["next"] == cell("next", 1), (how, at, seed)
             assert owed(held(again) | {"next": None}, done, [*tried, {"next": None}]), (how, at, seed)
 
 
@@ -244,18 +246,18 @@
             dying = files.crash(at)
             dying.fail_at, dying.how = second, "crash before"
             try:
-                open_cells("f", "a", dying)
+                open_acceptor_store("f", "a", dying)
             except Died:
                 dying = dying.crash(second)
             dying.fail_at, dying.locked = -1, False
-            assert owed(held(open_cells("f", "a", dying)), done, tried), (at, second)
+            assert owed(held(open_acceptor_store("f", "a", dying)), done, tried), (at, second)
 
 
 @pytest.mark.parametrize("how", ["EIO", "ENOSPC"])
 @pytest.mark.parametrize("call", ["write", "sync_data"])
 def test_behind_a_failed_call_the_next_append_begins_another_file(call: str, how: str) -> None:
     files = Failing()
-    store = open_cells("f", "a", files).store
+    store = open_acceptor_store("f", "a", files).store
     store.append([OWNER, cell("k", 1)])
     store.append([cell("k", 2)])
     files.fail_at, files.how = files.calls + (call == "sync_data"), how
@@ -264,13 +266,13 @@
     size = len(files.nodes["f/cells.0"].data)
     store.append([cell("j", 1)])
     assert sorted(files.nodes) == ["f/cells.1"]
-    opened = open_cells("f", "a", files.crash(1))
-    assert opened.cells == {"k": cell("k", 2), "j": cell("j", 1)} and size > 0
+    opened = open_acceptor_store("f", "a", files.crash(1))
+    assert opened.registers == {"k": cell("k", 2), "j": cell("j", 1)} and size > 0
 
 
 def test_nothing_is_written_behind_a_failed_sync_while_the_rewrite_fails_too() -> None:
     files = Failing()
-    store = open_cells("f", "a", files).store
+    store = open_acceptor_store("f", "a", files).store
     store.append([OWNER, cell("k", 1)])
     files.fail_at = files.calls + 1
     with pytest.raises(OSError, match="EIO"):
@@ -285,18 +287,18 @@
         assert files.nodes["f/cells.0"].data == spoilt
     store.append([cell("k", 9)])
     assert [name for name in files.nodes if "cells" in name] == [f"f/cells.{store._generation}"]
-    assert open_cells("f", "a", files.crash(2)).cells == {"k": cell("k", 9)}
+    assert open_acceptor_store("f", "a", files.crash(2)).registers == {"k": cell("k", 9)}
 
 
 def test_an_opening_that_fails_lets_go_of_the_folder() -> None:
     files = Failing()
-    store = open_cells("f", "a", files).store
+    store = open_acceptor_store("f", "a", files).store
     store.append([OWNER])
     store.close()
     files.fail_at = files.calls + 2
     with pytest.raises(OSError, match="EIO"):
-        open_cells("f", "a", files)
-    assert open_cells("f", "a", files).identity == OWNER
+        open_acceptor_store("f", "a", files)
+    assert open_acceptor_store("f", "a", files).identity == OWNER
 
 
 # ---- what a folder may hold
@@ -304,25 +306,25 @@
 
 def test_every_cut_of_a_file_leaves_its_records_up_to_there() -> None:
     records = [OWNER, cell("k", 1), BlobRecord("b", b"x"), cell("k", 2), cell("j", 1)]
-    data = cell_format.FRAMING.header("1") + b"".join(map(cell_format.encode_record, records))
+    data = acceptor_format.FRAMING.header("1") + b"".join(map(acceptor_format.encode_record, records))
     counts = set()
     for cut in range(len(data) + 1):
-        contents = cell_format.read_contents(data[:cut])
+        contents = acceptor_format.read_contents(data[:cut])
         whole = data[: contents.read.end]
-        again = cell_format.read_contents(whole)
+        again = acceptor_format.read_contents(whole)
         assert contents.records() == again.records() and contents.read.end <= cut
-        assert bool(contents.read.why) is (contents.read.verdict is not Verdict.WHOLE)
+        assert bool(contents.read.why) is (contents.read.verdict is not Verdict.COMPLETE)
         counts.add(contents.read.end)
     assert len(counts) == len(records) + 2, "nothing, the header, and behind each record"
 
 
 def test_no_single_bit_flip_is_believed() -> None:
     records = [OWNER, cell("k", 1, 3), BlobRecord("b", b"x")]
-    data = cell_format.FRAMING.header("1") + b"".join(map(cell_format.encode_record, records))
+    data = acceptor_format.FRAMING.header("1") + b"".join(map(acceptor_format.encode_record, records))
     for bit in range(len(data) * 8):
         spoilt = bytearray(data)
         spoilt[bit // 8] ^= 1 << bit % 8
-        contents = cell_format.read_contents(bytes(spoilt))
+        contents = acceptor_format.read_contents(bytes(spoilt))
         assert contents.read.verdict in (Verdict.PREFIX, Verdict.DISCARDED)
         found = contents.records()
         assert found == records[: len(found)] and contents.read.end <= bit // 8
@@ -330,10 +332,10 @@
 
 @given(st.binary(max_size=300), st.booleans())
 def test_the_reader_takes_any_bytes(noise: bytes, framed: bool) -> None:
-    header = cell_format.FRAMING.header("1")
-    payloads = cell_format.FRAMING.record("noise", noise) if framed else noise
-    assert cell_format.read_contents(noise).records() == []
-    contents = cell_format.read_contents(header + payloads)
+    header = acceptor_format.FRAMING.header("1")
+    payloads = acceptor_format.FRAMING.record("noise", noise) if framed else noise
+    assert acceptor_format.read_contents(noise).records() == []
+    contents = acceptor_format.read_contents(header + payloads)
     assert contents.read.end in (len(header), len(header + payloads))
 
 
@@ -344,35 +346,35 @@
     store.close()
     path = newest(tmp_path)
     path.write_bytes(path.read_bytes()[:-3])
-    opened = open_cells(str(tmp_path), "a")
-    assert opened.cells == {"k": cell("k", 1)}
+    opened = open_acceptor_store(str(tmp_path), "a")
+    assert opened.registers == {"k": cell("k", 1)}
     assert len(opened.notes) == 1 and opened.notes[0].startswith(f"{path.name}: cut within a record")
     opened.store.append([cell("j", 1)])
     opened.store.close()
     after = kept(tmp_path)
-    assert after.cells == {"k": cell("k", 1), "j": cell("j", 1)} and after.notes == []
+    assert after.registers == {"k": cell("k", 1), "j": cell("j", 1)} and after.notes == []
 
 
 def test_what_was_only_in_the_page_cache_is_on_the_disk_once_the_folder_is_open() -> None:
     files = Failing()
-    store = open_cells("f", "a", files).store
+    store = open_acceptor_store("f", "a", files).store
     store.append([OWNER, cell("k", 1)])
     files.sync_data = lambda handle: None  # the process dies between its write and its sync
     store.append([cell("k", 2)])
     del files.sync_data
     files.locked = False
-    opened = open_cells("f", "a", files)
-    assert opened.cells == {"k": cell("k", 2)}
+    opened = open_acceptor_store("f", "a", files)
+    assert opened.registers == {"k": cell("k", 2)}
     for seed in SEEDS:
-        assert open_cells("f", "a", files.crash(seed)).cells == opened.cells
+        assert open_acceptor_store("f", "a", files.crash(seed)).registers == opened.registers
 
 
 def test_a_wiped_folder_has_no_owner(tmp_path: Path) -> None:
     began(tmp_path / "f").store.close()
     for path in (tmp_path / "f").iterdir():
         path.unlink()
-    opened = open_cells(str(tmp_path / "f"), "a")
-    assert opened.identity is None and opened.cells == {}
+    opened = open_acceptor_store(str(tmp_path / "f"), "a")
+    assert opened.identity is None and opened.registers == {}
     opened.store.close()
 
 
@@ -381,8 +383,8 @@
     store.append([cell("k", 1)])
     store.close()
     newest(tmp_path).with_suffix(".7").write_bytes(b"IRISCELL spoilt")
-    opened = open_cells(str(tmp_path), "a")
-    assert opened.identity is None and opened.cells == {} and "cells.7" in opened.notes[0]
+    opened = open_acceptor_store(str(tmp_path), "a")
+    assert opened.identity is None and opened.registers == {} and "cells.7" in opened.notes[0]
     opened.store.append([IdentityRecord("second", "a")])
     opened.store.close()
     assert kept(tmp_path).identity == IdentityRecord("second", "a")
@@ -390,7 +392,7 @@
 
 def test_a_newer_format_is_refused_and_nothing_is_touched(tmp_path: Path) -> None:
     began(tmp_path).store.close()
-    head = struct.pack("<8sHH", cell_format.MAGIC, cell_format.FORMAT + 1, 3) + b"9.0"
+    head = struct.pack("<8sHH", acceptor_format.MAGIC, acceptor_format.FORMAT + 1, 3) + b"9.0"
     newer = head + struct.pack("<I", crc32c(head)) + b"what it means is not known here"
     path = newest(tmp_path).with_suffix(".5")
     path.write_bytes(newer)
@@ -398,7 +400,7 @@
     names = sorted(os.listdir(tmp_path))
     for _ in range(2):
         with pytest.raises(NewerFormat, match=r"format 2.*written by 9\.0"):
-            open_cells(str(tmp_path), "a")
+            open_acceptor_store(str(tmp_path), "a")
     assert sorted(os.listdir(tmp_path)) == names and path.read_bytes() == newer
 
 
@@ -406,9 +408,9 @@
     began(tmp_path).store.close()
     data = newest(tmp_path).read_bytes()
     with pytest.raises(ForeignFolder, match="belongs to a, not to b"):
-        open_cells(str(tmp_path), "b")
+        open_acceptor_store(str(tmp_path), "b")
     assert newest(tmp_path).read_bytes() == data
-    opened = open_cells(str(tmp_path), "a")
+    opened = open_acceptor_store(str(tmp_path), "a")
     with pytest.raises(ForeignFolder):
         opened.store.append([IdentityRecord("x", "b")])
     opened.store.close()
@@ -417,7 +419,7 @@
 def test_two_processes_never_share_a_folder(tmp_path: Path) -> None:
     opened = began(tmp_path)
     with pytest.raises(FolderBusy, match="in use"):
-        open_cells(str(tmp_path), "a")
+        open_acceptor_store(str(tmp_path), "a")
     opened.store.close()
     opened.store.close()
     assert kept(tmp_path).identity == OWNER
@@ -427,9 +429,9 @@
     store = began(tmp_path).store
     store.append([cell("k", 1, 500)])
     store.close()
-    monkeypatch.setattr(cells, "MOST_FILE_BYTES", 400)
+    monkeypatch.setattr(acceptor_store, "MOST_FILE_BYTES", 400)
     with pytest.raises(UnreadableFile):
-        open_cells(str(tmp_path), "a")
+        open_acceptor_store(str(tmp_path), "a")
 
 
 def test_what_was_left_behind_goes_with_the_next_rewrite(tmp_path: Path) -> None:
--- a/tests/state/test_restart.py
+++ b/tests/state/test_restart.py
@@ -14,7 +14,7 @@
 from stage import ROOT, Discovery, Listener, Program, serve, until
 
 from iristrack.recovery.pack import unpack
-from iristrack.store import format as fmt
+from iristrack.store import state_format as fmt
 
 
 @pytest.fixture
--- a/tests/state/test_state_command.py
+++ b/tests/state/test_state_command.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from iristrack.recovery.pack import changes, pack, unpack
-from iristrack.store.store import Store
+from iristrack.store.state_store import StateStore
 from tests.state.test_trust import taught
 
 ROOT = Path(__file__).parent.parent.parent
@@ -22,7 +22,7 @@
 def filled(folder: Path) -> dict:
     host = taught()
     first = host.balancer.snapshot(host.now)
-    store = Store(str(folder), "0.2", print)
+    store = StateStore(str(folder), "0.2", print)
     store.open()
     old = pack(first, 7 * 10**18, "n1", "0.2")
     assert store.checkpoint(old)
@@ -86,7 +86,7 @@
         done = state(*words)
         assert done.returncode == code and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
     filled(tmp_path / "a")
-    holder = Store(str(tmp_path / "a"), "1", print)
+    holder = StateStore(str(tmp_path / "a"), "1", print)
     holder.open()
     assert state("compact", tmp_path / "a").returncode == 3
     holder.close()
--- a/tests/state/test_store.py
+++ b/tests/state/test_state_store.py
@@ -11,22 +11,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.store import format as fmt
-from iristrack.store.store import Busy, Store
+from iristrack.store import state_format as fmt
+from iristrack.store.state_store import StateFolderBusy, StateStore
 from tests.state.disk import WAYS, Died, Failing
 
 OPENING = 3  # calls that must succeed for a folder to be used at all
 RECORDS = [("class", {"name": "view", "mean": 1.5}), ("server", ["a", 7, [1, 2, 3]]), ("share", "é" * 9)]
 
 
-def opened(files: Failing, said: list[str] | None = None) -> tuple[Store, object]:
-    store = Store("f", "1.0", (said if said is not None else []).append, files)
+def opened(files: Failing, said: list[str] | None = None) -> tuple[StateStore, object]:
+    store = StateStore("f", "1.0", (said if said is not None else []).append, files)
     return store, store.open()
 
 
 def test_every_cut_of_a_file_is_a_valid_prefix_or_nothing() -> None:
     data = fmt.checkpoint("1.0", RECORDS)
-    assert fmt.read(data).verdict is fmt.Verdict.WHOLE and fmt.read(data).records == RECORDS
+    assert fmt.read(data).verdict is fmt.Verdict.COMPLETE and fmt.read(data).records == RECORDS
     seen = set()
     for cut in range(len(data)):
         read = fmt.read(data[:cut])
@@ -42,7 +42,7 @@
         spoilt = bytearray(data)
         spoilt[bit // 8] ^= 1 << bit % 8
         read = fmt.read(bytes(spoilt))
-        assert read.verdict is not fmt.Verdict.WHOLE and read.verdict is not fmt.Verdict.NEWER
+        assert read.verdict is not fmt.Verdict.COMPLETE and read.verdict is not fmt.Verdict.NEWER
         assert read.records == RECORDS[: len(read.records)] and read.end <= bit // 8
 
 
@@ -52,7 +52,7 @@
     read = fmt.read(data[:cut] + noise if not behind else data + noise)
     assert read.records == RECORDS[: len(read.records)]
     if noise and behind:
-        assert read.verdict is not fmt.Verdict.WHOLE
+        assert read.verdict is not fmt.Verdict.COMPLETE
 
 
 CORPUS = sorted((Path(__file__).parent / "corpus").glob("*.bin"))
@@ -62,7 +62,7 @@
 def test_files_of_the_corpus_are_judged_as_their_names_say(file: Path) -> None:
     read = fmt.read(file.read_bytes())
     assert read.verdict.value == file.stem.partition("-")[0]
-    assert bool(read.why) is (read.verdict is not fmt.Verdict.WHOLE) and read.end <= file.stat().st_size
+    assert bool(read.why) is (read.verdict is not fmt.Verdict.COMPLETE) and read.end <= file.stat().st_size
 
 
 @given(st.sampled_from(CORPUS), st.data())
@@ -92,7 +92,7 @@
 
 def life(files: Failing, said: list[str], tried: list[list]) -> None:
     """A process that writes checkpoints and changes; every state that it tried to have goes to `tried`."""
-    store = Store("f", "1.0", said.append, files)
+    store = StateStore("f", "1.0", said.append, files)
     found = store.open()
     now = found.records + found.changes
     tried.append(now)
@@ -147,9 +147,9 @@
 
 
 def test_two_processes_never_share_a_folder(tmp_path: Path) -> None:
-    one, other = (Store(str(tmp_path / "s"), "1", print) for _ in range(2))
+    one, other = (StateStore(str(tmp_path / "s"), "1", print) for _ in range(2))
     one.open()
-    with pytest.raises(Busy, match="in use"):
+    with pytest.raises(StateFolderBusy, match="in use"):
         other.open()
     one.close()
     other.open()
@@ -158,7 +158,7 @@
 
 def test_a_newer_files_generation_is_kept_aside_and_never_overwritten(tmp_path: Path) -> None:
     folder = tmp_path / "s"
-    store = Store(str(folder), "1", print)
+    store = StateStore(str(folder), "1", print)
     store.open()
     assert store.checkpoint(RECORDS)
     store.close()
@@ -166,7 +166,7 @@
     head = struct.pack("<8sHH", fmt.MAGIC, fmt.FORMAT + 1, len(name)) + name
     newer = head + struct.pack("<I", crc32c(head)) + b"what it means is not known here"
     (folder / "checkpoint.1").write_bytes(newer)
-    store = Store(str(folder), "1", print)
+    store = StateStore(str(folder), "1", print)
     found = store.open()
     assert found.records == RECORDS and found.generation == 0 and "kept aside" in found.notes[0]
     for _ in range(5):
@@ -177,7 +177,7 @@
 
 
 def test_what_is_left_behind_is_cleared_and_a_spoilt_generation_falls_back(tmp_path: Path) -> None:
-    store = Store(str(tmp_path), "1", print)
+    store = StateStore(str(tmp_path), "1", print)
     store.open()
     store.checkpoint([("old", 1)])
     store.append([("change", 1)])
@@ -186,7 +186,7 @@
     (tmp_path / "checkpoint.7.new").write_bytes(b"half")
     data = (tmp_path / "checkpoint.1").read_bytes()
     (tmp_path / "checkpoint.1").write_bytes(data[:-3])
-    store = Store(str(tmp_path), "1", print)
+    store = StateStore(str(tmp_path), "1", print)
     found = store.open()
     assert (
         found.records == [("old", 1)]
@@ -202,7 +202,7 @@
 def test_a_folder_that_cannot_be_used_costs_one_line_and_no_more(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("no folder")
     said: list[str] = []
-    store = Store(str(tmp_path / "file"), "1", said.append)
+    store = StateStore(str(tmp_path / "file"), "1", said.append)
     assert store.open().generation == -1 and len(said) == 1
     assert not store.checkpoint(RECORDS) and not store.append(RECORDS) and not store.sync()
     store.close()
--- a/tests/state/test_writer.py
+++ b/tests/state/test_state_writer.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 from iristrack.recovery.pack import unpack
-from iristrack.store.store import Store
-from iristrack.store.writer import CHECKPOINT_EVERY_S, QUEUED, Writer
+from iristrack.store.state_store import StateStore
+from iristrack.store.state_writer import CHECKPOINT_EVERY_S, QUEUED, StateWriter
 from tests.state.disk import Failing
 from tests.state.test_trust import taught
 
@@ -20,16 +20,16 @@
         return self.now
 
 
-def writer(files: Failing, said: list[str], rate: int = 64 * 1024) -> tuple[Writer, Clock]:
+def writer(files: Failing, said: list[str], rate: int = 64 * 1024) -> tuple[StateWriter, Clock]:
     clock = Clock()
-    made = Writer(Store("f", "1", said.append, files), "n", said.append, rate, clock)
+    made = StateWriter(StateStore("f", "1", said.append, files), "n", said.append, rate, clock)
     made.store.open()
     return made, clock
 
 
 def kept(files: Failing) -> tuple[dict, dict] | None:
     files.locked = False
-    found = Store("f", "1", print, files).open()
+    found = StateStore("f", "1", print, files).open()
     return unpack(found.records + found.changes)
 
 
@@ -85,7 +85,7 @@
 
 
 def test_offers_never_wait_and_the_queue_drops_the_oldest(tmp_path: Path) -> None:
-    store = Store(str(tmp_path), "1", print)
+    store = StateStore(str(tmp_path), "1", print)
     held = threading.Event()
     real = store.checkpoint
 
@@ -94,7 +94,7 @@
         return real(records)
 
     store.checkpoint = slow
-    made = Writer(store, "n", print)
+    made = StateWriter(store, "n", print)
     made.start()
     host = taught()
     snapshot = host.balancer.snapshot(host.now)
@@ -103,15 +103,15 @@
     assert made.dropped >= QUEUED * 3 and len(made._queue) <= QUEUED
     held.set()
     assert made.close(snapshot, 777, 60)
-    found = Store(str(tmp_path), "1", print).open()
+    found = StateStore(str(tmp_path), "1", print).open()
     assert unpack(found.records + found.changes)[1]["at"] == 777
 
 
 def test_a_folder_in_use_is_told_and_serving_goes_on(tmp_path: Path) -> None:
-    holder = Store(str(tmp_path), "1", print)
+    holder = StateStore(str(tmp_path), "1", print)
     holder.open()
     said: list[str] = []
-    made = Writer(Store(str(tmp_path), "1", print), "n", said.append)
+    made = StateWriter(StateStore(str(tmp_path), "1", print), "n", said.append)
     assert made.start().generation == -1 and "in use" in said[0]
     made.offer({}, 1)
     assert not made.close({}, 2, 1)
--- a/tests/state/test_sync_thread.py
+++ b/tests/state/test_sync_thread.py
@@ -10,7 +10,7 @@
 
 from iristrack.runtime.scheduler import Scheduler
 from iristrack.store import sync_thread
-from iristrack.store.cells import BlobRecord, CellRecord, IdentityRecord, open_cells
+from iristrack.store.acceptor_store import BlobRecord, IdentityRecord, RegisterRecord, open_acceptor_store
 from iristrack.store.sync_thread import EarlierFailure, SyncThread
 from iristrack.wire.messages import NO_BALLOT, Ballot
 
@@ -18,8 +18,8 @@
 LONG_S = 60.0
 
 
-def cell(key: str, number: int = 1) -> CellRecord:
-    return CellRecord(key, Ballot(number, "a"), NO_BALLOT, b"value")
+def cell(key: str, number: int = 1) -> RegisterRecord:
+    return RegisterRecord(key, Ballot(number, "a"), NO_BALLOT, b"value")
 
 
 class SlowStore:
@@ -188,13 +188,13 @@
 def test_over_the_bound_of_bytes_it_is_told_at_once(host: Host, store: SlowStore) -> None:
     value = bytes(8 << 20)
     for n in range(3):
-        host.submit(n, CellRecord(f"k{n}", NO_BALLOT, NO_BALLOT, value))
-    host.submit("over", CellRecord("over", NO_BALLOT, NO_BALLOT, value))
+        host.submit(n, RegisterRecord(f"k{n}", NO_BALLOT, NO_BALLOT, value))
+    host.submit("over", RegisterRecord("over", NO_BALLOT, NO_BALLOT, value))
     host.submit("small", cell("small"))
     assert host.outcomes == [("over", False)]
     store.let.set()
     host.run_until_told("last", cell("last"))
-    host.run_until_told("room", CellRecord("over", NO_BALLOT, NO_BALLOT, value))
+    host.run_until_told("room", RegisterRecord("over", NO_BALLOT, NO_BALLOT, value))
     assert host.outcomes[-3:] == [("small", True), ("last", True), ("room", True)]
 
 
@@ -241,14 +241,14 @@
 
 
 def test_what_was_told_as_kept_is_in_the_folder(tmp_path: Path) -> None:
-    host = Host(open_cells(str(tmp_path), "a").store)
+    host = Host(open_acceptor_store(str(tmp_path), "a").store)
     host.submit("owner", OWNER)
     for n in range(100):
         host.submit(n, cell(f"k{n % 7}", n))
     host.submit("blob", BlobRecord("members", b"m"))
     assert host.thread.stop(LONG_S)
     assert all(ok for _, ok in host.outcomes) and len(host.outcomes) == 102
-    opened = open_cells(str(tmp_path), "a")
+    opened = open_acceptor_store(str(tmp_path), "a")
     opened.store.close()
     assert opened.identity == OWNER and opened.blobs == {"members": b"m"}
-    assert opened.cells == {f"k{n % 7}": cell(f"k{n % 7}", n) for n in range(93, 100)}
+    assert opened.registers == {f"k{n % 7}": cell(f"k{n % 7}", n) for n in range(93, 100)}
