--- a/iristrack/balance.py
+++ b/iristrack/balance.py
@@ -13,82 +13,70 @@
 from collections import deque
 
 from iristrack import interface as mi
-from iristrack.limits.cold_start import ColdPace
-from iristrack.limits.concurrency import LEAST_LIMIT, Room
+from iristrack.limits.cold_start import ColdRateFactor
+from iristrack.limits.concurrency import MIN_LIMIT, ConcurrencyLimiter
 from iristrack.placement.ranking import hash64, mix64, rank_value
 from iristrack.records import (
     BROKE,
     DID_NOT_RUN,
-    FIRST_BACKOFF_NS,
+    IN_FLIGHT,
+    INITIAL_BACKOFF_NS,
     MAYBE_RAN,
-    OUT,
-    learned_of,
-    recall,
+    export_server,
+    restore_server,
 )
 from iristrack.records import Attempt as _Attempt
 from iristrack.records import ClassRecord as _Class
+from iristrack.records import EjectionState as _Ejection
 from iristrack.records import OpenRequest as _Open
 from iristrack.records import Server as _Server
-from iristrack.records import Suspicion as _Suspicion
-from iristrack.zones.outage import Zones
-
-TICKS_PER_AIM = 16  # housekeeping runs so many times within the shortest aim
-TARGET = 0.5  # most of its aim that an answer should take on average: leaves as much again for its spread
-CROWDED = 2.0  # and most of what a crowd can slow: there as many requests wait as are worked on
-START_HELD = 12.0  # first guess of how many requests a server can hold, from all balancers
-HELD_BY_ALL = 6.0  # and so many are let in where its reports tell of all of them
-UNCROWDED = 1.3  # below so many times its uncrowded latency a class is taken to be uncrowded
-BASE_WINDOW = 64  # answers whose mean counts as one look at a class's latency
-ONE_LOOK = 32  # answers that make a look at the fleet's pace
-SHORT_LOOK = 8  # once they took over a second
-FIRST_WINDOW = 16  # the first look is a shorter one
-BASE_CREEP = 1.02  # an old low is forgotten by so much a window
-LIMIT_GAIN = 0.5  # how fast a server's limit follows the answers
-FINE = 0.75  # most of its aim that a cold server's answer may take and count as a good one
-WIDEN = 0.5  # how full a server past a key's pair may be to take it
-ERRORS_OUT = 2.0  # recent errors that eject a server, where errors are rare
-ERROR_FADE = 0.8  # what is left of that count after each good answer
-FEWEST_FAULTY = 0.02  # the share of errors is taken to be no lower,
-LEAST_ERROR = 0.5  # and an error to count no less, where that share is high
-FAILED_CONNECTS = 2  # so many in a row eject a server that has answered a moment ago
-SILENT_CHANCE = 0.001  # a row of unanswered overdue attempts this unlikely on a sound server ejects it
-TRIALS_BACK = 3  # good trials that bring a server back after errors
-FEWEST_OVERDUE = 0.02  # the share of overdue attempts is taken to be no lower
-FEWEST_LOST = 0.01  # the share of attempts without any answer is taken to be no lower,
-LOSSY = 0.03  # and from this one on an attempt far overdue is given up in time for another,
-LOST_PATIENCE = 1.5  # after so many times the wait that loss explains better than an exponential latency does
-MOST_OUT = 0.5  # share of the ready servers that may be ejected on suspicion
-LAST_BACKOFF_NS = 8 * mi.NS_PER_S
-FEWEST_WARM = 0.25  # share of the servers in use that must be warm to learn what one bears
-IDLE_KEPT_NS = mi.NS_PER_S // 2  # a connection that is used less often than this is closed when idle
-RECENT = 0.9  # what a second leaves of the counts of tenants' requests
-RETRY_SHARE = 0.2  # extra attempts earned by each request
-RETRY_BURST = 10.0
-HOT_SHARE = 0.25  # a key may bring a pair so much of a server's even share of the requests before it is split
-COUNTED_REQUESTS = 512  # how popular a key is shows in about so many requests
-CACHED_RANKINGS = 8192
-REMEMBERED_FAILURES = 4096
-MOST_CLASSES = 64
-SPARE_ENTRIES = 64  # places a server's waiting list may hold beyond twice those that wait
-COUNTS_ON = frozenset({mi.Outcome.ERROR, mi.Outcome.RESET, mi.Outcome.TIMEOUT})  # as in flight for a while
-OVERDRIVEN = frozenset(
-    {mi.Outcome.REJECTED, mi.Outcome.TIMEOUT}
-)  # what tells that a cold server got too much
-BREAKS = frozenset({mi.Outcome.RESET, mi.Outcome.TIMEOUT})  # what may be the connection's fault alone
-LEARNED = (
-    "overdue_share",
-    "lost_share",
-    "retries",
-    "usual",
-    "slowdown",
-    "warm_rate",
-)  # what a snapshot keeps
+from iristrack.zones.outage import ZoneOutages
+
+TICKS_PER_AIM = 16  # timer ticks within the shortest aim
+TARGET_RATIO = 0.5  # target mean latency as a share of the aim; the rest is left for its spread
+MAX_CROWDING = 2.0  # target slowdown of the part that load affects: as many requests wait as are worked on
+INITIAL_SERVER_LIMIT = 12.0  # initial limit of requests at a server, of all balancers together
+INITIAL_LOAD_BOUND = 6.0  # initial bound on requests at a server whose reports count those of all balancers
+UNCROWDED = 1.3  # a class counts as uncrowded below this multiple of its uncrowded latency
+BASE_WINDOW_ANSWERS = 64  # answers in one sample of a class's latency
+FULL_SAMPLE = 32  # answers in one sample of the fleet's slowdown
+MIN_SAMPLE = 8  # answers that suffice for that sample after a second
+FIRST_WINDOW_ANSWERS = 16  # answers in the first sample, which sets the base early
+BASE_GROWTH_PER_WINDOW = 1.02  # growth of the lowest latency per sample, so that an old minimum expires
+LIMIT_GAIN = 0.5  # how fast a server's limit follows the latencies
+COLD_RATIO = 0.75  # an answer of a cold server counts as good below this share of the aim
+MAX_SPILL_RATIO = 0.5  # a server past a key's pair takes the key's requests below this share of its limit
+EJECTION_ERRORS = 2.0  # recent errors that eject a server where errors are rare
+ERROR_DECAY = 0.8  # factor on the count of recent errors per successful answer
+MIN_ERROR_SHARE = 0.02  # lower bound of the estimated share of errors
+MIN_ERROR_WEIGHT = 0.5  # lower bound of what one error counts where errors are frequent
+MAX_FAILED_CONNECTS = 2  # failed connects in a row that eject a server that answered a moment ago
+MAX_CHANCE = 0.001  # eject if a healthy server leaves that many attempts overdue with less probability
+TRIALS_AFTER_ERRORS = 3  # successful trials that end an ejection for errors
+MIN_OVERDUE_SHARE = 0.02  # lower bound of the estimated share of overdue attempts
+MIN_LOST_SHARE = 0.01  # lower bound of the estimated share of attempts without any answer
+LOSSY = 0.03  # share of lost attempts from which on overdue attempts are retried in time
+LOSS_RATIO = 1.5  # margin on the wait after which loss is likelier than an exponential latency
+MAX_EJECTED_SHARE = 0.5  # of the ready servers, ejected on suspicion
+MAX_BACKOFF_NS = 8 * mi.NS_PER_S
+MIN_WARM_SHARE = 0.25  # share of the servers in use that must be warm to learn a warm server's rate
+MAX_IDLE_GAP_NS = mi.NS_PER_S // 2  # idle connections that are used less often than this are closed
+TENANT_DECAY_PER_S = 0.9  # factor on the tenants' request counts
+RETRY_TOKENS_PER_REQUEST = 0.2
+MAX_RETRY_TOKENS = 10.0
+HOT_KEY_SHARE = 0.25  # a key is split if its pair gets more of a server's even share of requests
+KEY_COUNT_WINDOW = 512  # requests after which the counts of keys are halved
+MAX_CACHED_RANKINGS = 8192
+MAX_REMEMBERED_FAILURES = 4096
+MAX_CLASSES = 64
+SPARE_QUEUE_ENTRIES = 64  # entries of a server's queue beyond twice the number of queued requests
+PENALIZED = frozenset({mi.Outcome.ERROR, mi.Outcome.RESET, mi.Outcome.TIMEOUT})  # see _add_penalty
+OVERLOADS = frozenset({mi.Outcome.REJECTED, mi.Outcome.TIMEOUT})  # signs of an overloaded cold server
+BREAKS = frozenset({mi.Outcome.RESET, mi.Outcome.TIMEOUT})  # may be the fault of the connection alone
+LEARNED = ("overdue_share", "lost_share", "retries", "usual", "slowdown", "warm_rate")  # kept in snapshots
 LEARNED_OF_CLASS = ("mean", "dev", "base", "low", "faulty")
-RESUBSCRIBE_DELAY_NS = (
-    mi.NS_PER_S // 2,
-    mi.NS_PER_S * 11 // 10,
-)  # after a failed call to discovery, by chance
-TICK, ASK_AGAIN = range(2)  # tokens of timers
+RESUBSCRIBE_DELAY_NS = (mi.NS_PER_S // 2, mi.NS_PER_S * 11 // 10)  # random in this range, after a failed call
+TICK, RESUBSCRIBE = range(2)  # tokens of timers
 
 
 class Balancer:
@@ -98,41 +86,43 @@
         """`seed` is the only source of randomness; `learned` a snapshot that `recovery.aging` has weighed."""
         self.settings = settings
         self.random = random.Random(seed)
-        self.classes = {c.name: _Class(c, TARGET, FEWEST_FAULTY) for c in settings.classes}
+        self.classes = {c.name: _Class(c, TARGET_RATIO, MIN_ERROR_SHARE) for c in settings.classes}
         aims = [c.aim_ns for c in settings.classes] or [mi.NS_PER_S]
         self.longest_aim, self.shortest_aim = max(aims), min(aims)
         self.tick_ns = max(settings.resolution_ns, min(aims) // TICKS_PER_AIM)
-        self.start_limit = START_HELD / settings.balancers
+        self.start_limit = INITIAL_SERVER_LIMIT / settings.balancers
         # Guards against very many balancers: where each has less than one request at a server, none learns
         # that server's limit in time, but it does learn from all its answers how much the fleet takes.
-        self.shared = Room(1.0) if self.start_limit < 1 else None
+        self.shared = ConcurrencyLimiter(1.0) if self.start_limit < 1 else None
         # Guards servers against a connection from each of many, unless a new one costs more than to keep it.
-        dear = 100 * settings.prices.handshake > settings.prices.connection * settings.balancers
-        self.closes_idle = self.shared is not None and not dear
+        costly_handshake = 100 * settings.prices.handshake > settings.prices.connection * settings.balancers
+        self.closes_idle = self.shared is not None and not costly_handshake
         self.servers: dict[str, _Server] = {}
         self.ready: list[_Server] = []
         self.rankings: dict[tuple[str, int], list[_Server]] = {}
-        self.popular: dict[str, int] = {}  # recent requests of each key
-        self.counted = 0
+        self.key_counts: dict[str, int] = {}  # recent requests of each key
+        self.key_count_sum = 0
         self.requests: dict[str, _Open] = {}
-        self.held: dict[str, _Open] = {}
+        self.queued: dict[str, _Open] = {}
         self.sequence = 0
         self.penalties: deque[tuple[int, _Server]] = deque()
-        self.failures: dict[tuple, int] = {}  # client retries are matched with their first try
-        self.retries = RETRY_BURST
-        self.overdue_share = FEWEST_OVERDUE
-        self.lost_share = FEWEST_LOST
+        self.recent_failures: dict[tuple, int] = {}  # client retries are matched with their first try
+        self.retries = MAX_RETRY_TOKENS
+        self.overdue_share = MIN_OVERDUE_SHARE
+        self.lost_share = MIN_LOST_SHARE
         self.ticking = False
         self.actions: list[mi.Action] = []
         self.started_at: int | None = None
         self.arrivals = 0
-        self.shares = {t.name: t.share for t in settings.tenants}
-        self.asked = dict.fromkeys(self.shares, 1.0)  # recent requests of each tenant
+        self.tenant_shares = {t.name: t.share for t in settings.tenants}
+        self.tenant_counts = dict.fromkeys(self.tenant_shares, 1.0)  # recent requests of each tenant
         self.warm_answers = self.second_ends = 0
-        self.judged = self.judged_from = self.busy_ns = 0
-        self.slowness = 0.0  # sum of the judged latencies, each against its class's base
-        self.zones = Zones()
-        self.pace = ColdPace(self.shared is not None, settings.contract)  # what cold servers bear
+        self.sample_size = self.sample_from = self.sample_busy_ns = 0
+        self.sample_slowness = 0.0  # sum of the judged latencies, each against its class's base
+        self.zones = ZoneOutages()
+        self.cold_factor = ColdRateFactor(
+            self.shared is not None, settings.contract
+        )  # what cold servers bear
         self.usual = 0.0  # our requests in flight a server when uncrowded
         self.slowdown = 1.0  # how much slower than the base answers are when no more than that are
         self.warm_rate: float | None = None  # answers a second that a warm server gives us
@@ -141,16 +131,16 @@
             mi.AttemptEnded: self._on_ended,
             mi.AttemptWritten: self._on_written,
             mi.AttemptStarted: self._on_started,
-            mi.ClientGone: self._on_gone,
+            mi.ClientGone: self._on_client_gone,
             mi.ServerList: self._on_list,
             mi.TimerFired: self._on_timer,
         }
 
-        self.known = learned["servers"] if learned else {}  # until discovery has told its whole list
+        self.known_servers = learned["servers"] if learned else {}  # until discovery has told its whole list
         if learned:
             self.__dict__.update(learned["balancer"])
-            self.asked |= learned["tenants"]
-            self.popular, self.counted = dict(learned["popular"]), sum(learned["popular"].values())
+            self.tenant_counts |= learned["tenants"]
+            self.key_counts, self.key_count_sum = dict(learned["popular"]), sum(learned["popular"].values())
             for name, values in learned["classes"].items():
                 for field, value in values.items():
                     setattr(self.classes[name], field, value)
@@ -160,10 +150,10 @@
         classes = {n: {f: getattr(c, f) for f in LEARNED_OF_CLASS} for n, c in self.classes.items()}
         return {
             "balancer": {name: getattr(self, name) for name in LEARNED},
-            "tenants": dict(self.asked),
-            "popular": dict(self.popular),
+            "tenants": dict(self.tenant_counts),
+            "popular": dict(self.key_counts),
             "classes": classes,
-            "servers": {s.id: learned_of(s, now) for s in self.servers.values()},
+            "servers": {s.id: export_server(s, now) for s in self.servers.values()},
         }
 
     def ejected_server_count(self) -> int:
@@ -174,7 +164,7 @@
         """Take one event at clock `now`; the actions are to be carried out in order."""
         self.actions = actions = []
         if self.started_at is None:
-            self.started_at = self.judged_from = now
+            self.started_at = self.sample_from = now
             self.second_ends = now + mi.NS_PER_S
             if self.settings.ask_for_list:
                 actions.append(mi.Subscribe())
@@ -192,7 +182,7 @@
         if event.kind is mi.ListKind.FAILED:
             if self.settings.ask_for_list:
                 # Out of step: calls of a fleet that failed together would fail together again.
-                self.actions.append(mi.SetTimer(ASK_AGAIN, int(self.random.uniform(*RESUBSCRIBE_DELAY_NS))))
+                self.actions.append(mi.SetTimer(RESUBSCRIBE, int(self.random.uniform(*RESUBSCRIBE_DELAY_NS))))
             return
         if event.kind is not mi.ListKind.DELTA:
             named = {entry.server for entry in event.servers}
@@ -202,48 +192,48 @@
         for entry in event.servers:
             server = self.servers.get(entry.server)
             if server is None:
-                server = _Server(entry, self.shared or Room(self.start_limit))
+                server = _Server(entry, self.shared or ConcurrencyLimiter(self.start_limit))
                 self.servers[entry.server] = server
             server.weight = max(entry.weight, 0.01) if self.settings.sized_weights else 1.0
             if entry.started_ns != server.started:
-                server.forget(self.random.random(), HELD_BY_ALL, TARGET * self.shortest_aim)
+                server.reset(self.random.random(), INITIAL_LOAD_BOUND, TARGET_RATIO * self.shortest_aim)
                 server.started = entry.started_ns
-                known = self.known.get(entry.server)
+                known = self.known_servers.get(entry.server)
                 if known is not None and known["started"] == entry.started_ns:
-                    recall(server, now, known, LEAST_LIMIT)
+                    restore_server(server, now, known, MIN_LIMIT)
             server.ready = entry.state is mi.ServerState.READY
-            server.zone, server.area = entry.zone, self.zones.zone(entry.zone)
+            server.zone, server.zone_state = entry.zone, self.zones.state_of(entry.zone)
             server.cell = entry.cell
             cold_ns = self.settings.contract.cold_ns
             server.warm_at = entry.started_ns + cold_ns if entry.started_ns and cold_ns else 0
         if event.kind is mi.ListKind.FULL:
-            self.known = {}
+            self.known_servers = {}
         for name in [s.id for s in self.servers.values() if not s.ready and not s.inflight]:
             del self.servers[name]
         self.ready = sorted((s for s in self.servers.values() if s.ready), key=lambda s: s.hash)
         self.rankings.clear()
-        self._size_room(now)
+        self._resize_limiter(now)
 
-    def _size_room(self, now: int) -> None:
+    def _resize_limiter(self, now: int) -> None:
         """The common room is for the warm servers in use: neither cold nor ejected ones take what it grants."""
         if self.shared is not None and self.ready:
-            in_use = sum(self._takes_room(now, s) for s in self.ready)
-            self.shared.stand_for(len(self.ready), in_use, self.start_limit)
+            in_use = sum(self._is_limited(now, s) for s in self.ready)
+            self.shared.resize(len(self.ready), in_use, self.start_limit)
 
     # ---- which server
 
-    def _split(self, key: str) -> int:
+    def _draw_key_part(self, key: str) -> int:
         """Draw a part of the key. A key that is too much for a pair is several: each part has its own pair.
 
         Guards against a hot key where many balancers each send little: own counts stay at zero, so that all
         would send it to one server. How popular a key is, each sees in its own requests.
         """
-        if self.counted >= COUNTED_REQUESTS:
-            self.popular = {k: n // 2 for k, n in self.popular.items() if n > 1}
-            self.counted = sum(self.popular.values())
-        count = self.popular[key] = self.popular.get(key, 0) + 1
-        self.counted += 1
-        parts = math.ceil((count - 1) / self.counted * len(self.ready) / HOT_SHARE)
+        if self.key_count_sum >= KEY_COUNT_WINDOW:
+            self.key_counts = {k: n // 2 for k, n in self.key_counts.items() if n > 1}
+            self.key_count_sum = sum(self.key_counts.values())
+        count = self.key_counts[key] = self.key_counts.get(key, 0) + 1
+        self.key_count_sum += 1
+        parts = math.ceil((count - 1) / self.key_count_sum * len(self.ready) / HOT_KEY_SHARE)
         return self.random.randrange(parts) if parts > 1 else 0
 
     def _ranking(self, key: str | None, part: int) -> list[_Server]:
@@ -252,31 +242,31 @@
             return self.random.sample(self.ready, len(self.ready))
         ranking = self.rankings.get((key, part))
         if ranking is None:
-            if len(self.rankings) >= CACHED_RANKINGS:
+            if len(self.rankings) >= MAX_CACHED_RANKINGS:
                 self.rankings.clear()
             seed = mix64(hash64(key) + part)
             ranking = sorted(self.ready, key=lambda s: rank_value(seed, s.hash, s.weight))
             self.rankings[key, part] = ranking
         return ranking
 
-    def _pick(self, now: int, request: _Open) -> _Server | None:
+    def _pick_server(self, now: int, request: _Open) -> _Server | None:
         """The candidate with fewer of our requests in flight; further down the ranking if both are full."""
         best = least = None
         seen = 0
-        for server in self._ranking(request.event.key, request.part):
+        for server in self._ranking(request.event.key, request.key_part):
             if request.attempts and not self._may_send(now, request, server):
                 continue
             ejections = server.ejections(request.cls.spec.name)
             if ejections:
-                if all(now >= e.out_until for e in ejections) and seen < 2 and self._has_room(now, server):
+                if all(now >= e.trial_at for e in ejections) and seen < 2 and self._has_capacity(now, server):
                     return server  # a trial
                 continue
             seen += 1
             # Past the pair only to a half-empty one, as scattered keys make all work dearer, or to a cold one's budget.
-            crowded = seen > 2 and server.room.inflight >= server.room.limit * WIDEN
-            if crowded and self._takes_room(now, server):
+            too_full = seen > 2 and server.limiter.inflight >= server.limiter.limit * MAX_SPILL_RATIO
+            if too_full and self._is_limited(now, server):
                 continue
-            if self._has_room(now, server):
+            if self._has_capacity(now, server):
                 # Ties go to the first, which met the key last. With many balancers counts are nearly always
                 # zero, and one server would get all of a key's requests: there chance settles them, by size.
                 chance = self.random.random() ** (1 / server.weight) if self.shared else 0.0
@@ -285,7 +275,7 @@
                     best, least = server, load
             if seen >= 2 and best is not None:
                 return best
-        if best is None and request.attempts and request.attempts[-1].state == BROKE and not self.held:
+        if best is None and request.attempts and request.attempts[-1].state == BROKE and not self.queued:
             # Guards a keyed request whose group has no other server to take it: where its connection broke or
             # fell silent, the same one is asked once more; not in a crowd, which makes answers late as well.
             server = request.attempts[-1].server
@@ -295,30 +285,30 @@
                 and server.ready
                 and not server.ejections(request.cls.spec.name)
                 and self._may_send(now, request, server, again=True)
-                and self._has_room(now, server)
+                and self._has_capacity(now, server)
             ):
                 return server
         return best
 
-    def _has_room(self, now: int, server: _Server) -> bool:
+    def _has_capacity(self, now: int, server: _Server) -> bool:
         # Guards a server against the crowd that all balancers together make, where its reports tell of it.
-        if server.crowd.full(now, server.inflight) or (
-            self._takes_room(now, server) and server.room.full(now)
+        if server.load_estimate.full(now, server.inflight) or (
+            self._is_limited(now, server) and server.limiter.full(now)
         ):
             return False
         if now >= server.warm_at:
             return True
         # Guards a cold server against all balancers together: see limits/cold_start.py.
-        if self.shared is not None and server.budget.in_hand(now, server.inflight):
+        if self.shared is not None and server.budget.at_inflight_limit(now, server.inflight):
             return False
         rate = self.warm_rate
         if rate is None:
             seconds = max(1.0, (now - self.started_at) / mi.NS_PER_S)
             rate = self.arrivals / seconds / max(1.0, sum(s.weight for s in self.ready))
         contract = self.settings.contract
-        return server.budget.allows(now, rate * server.weight, server.started, contract, self.pace)
+        return server.budget.allows(now, rate * server.weight, server.started, contract, self.cold_factor)
 
-    def _takes_room(self, now: int, server: _Server) -> bool:
+    def _is_limited(self, now: int, server: _Server) -> bool:
         """The common room is for warm servers in use: a cold one's budget guards it, a silent one tells of no crowd."""
         return self.shared is None or (now >= server.warm_at and not server.ejected)
 
@@ -333,7 +323,7 @@
             if spec.repeat is mi.Repeat.UNSAFE:
                 return False
             if spec.repeat is mi.Repeat.KEYED:
-                if now >= self._repeat_by(request, attempt):
+                if now >= self._repeat_deadline(request, attempt):
                     return False
                 if spec.group is mi.Group.ZONE and attempt.server.zone != server.zone:
                     return False
@@ -341,9 +331,9 @@
                     return False
         return True
 
-    def _repeat_by(self, request: _Open, attempt: _Attempt) -> int:
+    def _repeat_deadline(self, request: _Open, attempt: _Attempt) -> int:
         """When the group of an attempt that may have run forgets it, and a keyed request must not begin again."""
-        return attempt.sent + request.cls.spec.memory_ns - 2 * self.settings.resolution_ns
+        return attempt.sent_at + request.cls.spec.memory_ns - 2 * self.settings.resolution_ns
 
     def _may_reject(self, now: int, request: _Open) -> bool:
         spec = request.cls.spec
@@ -353,7 +343,7 @@
             if attempt.state != DID_NOT_RUN and not (
                 spec.repeat is mi.Repeat.KEYED
                 and spec.group is mi.Group.ALL
-                and now < attempt.sent + spec.memory_ns
+                and now < attempt.sent_at + spec.memory_ns
             ):
                 return False
         return True
@@ -364,97 +354,97 @@
         if event.id in self.requests:
             return
         self.arrivals += 1
-        self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
+        self.retries = min(MAX_RETRY_TOKENS, self.retries + RETRY_TOKENS_PER_REQUEST)
         cls = self.classes.get(event.request_class)
         if cls is None:  # unknown: as strict as can be
             left = max(1, event.give_up_ns - now)
-            cls = _Class(mi.RequestClass(event.request_class, left, left), TARGET, FEWEST_FAULTY)
-            if len(self.classes) < MOST_CLASSES:  # names that come from outside must not fill the memory
+            cls = _Class(mi.RequestClass(event.request_class, left, left), TARGET_RATIO, MIN_ERROR_SHARE)
+            if len(self.classes) < MAX_CLASSES:  # names that come from outside must not fill the memory
                 self.classes[event.request_class] = cls
         spec = cls.spec
-        born = now
+        first_asked_at = now
         if event.retry:
-            born = self.failures.pop((event.request_class, event.key, event.tenant), now)
+            first_asked_at = self.recent_failures.pop((event.request_class, event.key, event.tenant), now)
         useful_until = event.give_up_ns
         if not spec.late_share:
             aim = min(spec.deadline_ns, spec.aim_ns + int(spec.aim_stretch * event.work_hint_ns))
-            useful_until = min(event.give_up_ns, born + aim)
+            useful_until = min(event.give_up_ns, first_asked_at + aim)
         value = self._value(event, cls)
-        request = self.requests[event.id] = _Open(event, cls, born, useful_until, value)
+        request = self.requests[event.id] = _Open(event, cls, first_asked_at, useful_until, value)
         if event.key is not None and self.shared:
-            request.part = self._split(event.key)
-        if self._hopeless(now, request):
-            self._answer(now, request)
+            request.key_part = self._draw_key_part(event.key)
+        if self._is_too_late(now, request):
+            self._answer_unserved(now, request)
             return
-        if not self._send_to_pick(now, request):
-            self._hold(now, request)
+        if not self._try_send(now, request):
+            self._enqueue(now, request)
 
     def _value(self, event: mi.Request, cls: _Class) -> float:
         """Worth for each unit of work; of a tenant beyond its share, part counts at the low worth."""
         value = cls.spec.worth / cls.base
-        share = self.shares.get(event.tenant)
+        share = self.tenant_shares.get(event.tenant)
         if share is not None:
-            self.asked[event.tenant] += 1
-            within = share * sum(self.asked.values()) / self.asked[event.tenant]
+            self.tenant_counts[event.tenant] += 1
+            within = share * sum(self.tenant_counts.values()) / self.tenant_counts[event.tenant]
             low = self.settings.over_share_worth
             value *= low + (1 - low) * min(1.0, within)
         return value
 
-    def _hopeless(self, now: int, request: _Open) -> bool:
+    def _is_too_late(self, now: int, request: _Open) -> bool:
         """Too late for most answers to come within the aim: work past it would be waste."""
         return now + max(self.tick_ns, request.cls.mean + request.cls.dev) > request.useful_until
 
-    def _hold(self, now: int, request: _Open) -> None:
+    def _enqueue(self, now: int, request: _Open) -> None:
         """Its servers are full: wait here, where that costs no server anything; the best worth goes first."""
-        self.held[request.event.id] = request
+        self.queued[request.event.id] = request
         if not request.attempts:
             request.decide_by = now + (request.event.give_up_ns - now) // 2
         self.sequence += 1
         entry = (-request.value, self.sequence, request)
-        for room in dict.fromkeys(server.room for server in self._pair(request)):
-            if len(room.waiting) > 2 * len(self.held) + SPARE_ENTRIES:
+        for limiter in dict.fromkeys(server.limiter for server in self._pair(request)):
+            if len(limiter.waiting) > 2 * len(self.queued) + SPARE_QUEUE_ENTRIES:
                 # Guards against a long overload, in which those that waited in vain would pile up here.
-                room.waiting = [e for e in room.waiting if e[2].event.id in self.held]
-                heapq.heapify(room.waiting)
-            heapq.heappush(room.waiting, entry)
+                limiter.waiting = [e for e in limiter.waiting if e[2].event.id in self.queued]
+                heapq.heapify(limiter.waiting)
+            heapq.heappush(limiter.waiting, entry)
 
     def _pair(self, request: _Open) -> list[_Server]:
-        ranking = self._ranking(request.event.key, request.part)
+        ranking = self._ranking(request.event.key, request.key_part)
         return [s for s in ranking if not s.ejections(request.cls.spec.name)][:2]
 
-    def _serve_waiting(self, now: int, room: Room) -> None:
+    def _drain_queue(self, now: int, limiter: ConcurrencyLimiter) -> None:
         """Room may have come up: let in those that wait for it."""
-        while room.waiting and not room.full(now):
-            request = room.waiting[0][2]
-            if request.event.id in self.held and not self._send_to_pick(now, request):
+        while limiter.waiting and not limiter.full(now):
+            request = limiter.waiting[0][2]
+            if request.event.id in self.queued and not self._try_send(now, request):
                 return
-            heapq.heappop(room.waiting)
+            heapq.heappop(limiter.waiting)
 
-    def _send_to_pick(self, now: int, request: _Open) -> bool:
-        server = self._pick(now, request)
+    def _try_send(self, now: int, request: _Open) -> bool:
+        server = self._pick_server(now, request)
         if server is None:
             return False
         self._send(now, request, server)
         return True
 
     def _send(self, now: int, request: _Open, server: _Server) -> None:
-        self.held.pop(request.event.id, None)
+        self.queued.pop(request.event.id, None)
         for ejection in server.ejections(request.cls.spec.name):
-            ejection.out_until = now + ejection.backoff  # one trial at a time
+            ejection.trial_at = now + ejection.backoff_ns  # one trial at a time
         if now < server.warm_at:
             server.budget.spend()
         begin_by = 0
         if request.cls.spec.repeat is mi.Repeat.KEYED:
-            ran = [self._repeat_by(request, a) for a in request.attempts if a.state != DID_NOT_RUN]
+            ran = [self._repeat_deadline(request, a) for a in request.attempts if a.state != DID_NOT_RUN]
             begin_by = min(ran, default=0)
-        attempt = _Attempt(server, now, self._takes_room(now, server))
-        server.count(1, attempt.in_room)
+        attempt = _Attempt(server, now, self._is_limited(now, server))
+        server.add_inflight(1, attempt.counted)
         request.attempts.append(attempt)
         if not request.event.long:  # that one is judged from its last byte on
             request.cls.outstanding.append((request, attempt))
-        self.actions.append(mi.Send(request.event.id, server.id, self._patience(now, request), begin_by))
+        self.actions.append(mi.Send(request.event.id, server.id, self._timeout(now, request), begin_by))
 
-    def _patience(self, now: int, request: _Open) -> int:
+    def _timeout(self, now: int, request: _Open) -> int:
         """How long to wait for the attempt that goes out now.
 
         Guards against connections that fall silent, and answers that stop half-way, at all servers alike: to
@@ -462,13 +452,13 @@
         room it is a crowd that answers late, and more work would not help.
         """
         cls, left = request.cls, max(1, request.useful_until - now)
-        again = cls.spec.repeat is not mi.Repeat.UNSAFE and self.retries >= 1 and not self.held
+        again = cls.spec.repeat is not mi.Repeat.UNSAFE and self.retries >= 1 and not self.queued
         if self.lost_share < LOSSY or not again or len(request.attempts) >= self.settings.limits.max_attempts:
             return left
-        patience = int(LOST_PATIENCE * cls.mean * math.log(2 / self.lost_share))
-        return patience if patience + cls.mean + cls.dev < left else left
+        timeout = int(LOSS_RATIO * cls.mean * math.log(2 / self.lost_share))
+        return timeout if timeout + cls.mean + cls.dev < left else left
 
-    def _answer(self, now: int, request: _Open) -> None:
+    def _answer_unserved(self, now: int, request: _Open) -> None:
         """The one final answer, other than a served one."""
         event = request.event
         limits = self.settings.limits
@@ -483,86 +473,86 @@
         if (
             self.settings.marks_retries and request.event.key is not None
         ):  # else nothing tells whose try it was
-            if len(self.failures) >= REMEMBERED_FAILURES:
-                del self.failures[next(iter(self.failures))]
+            if len(self.recent_failures) >= MAX_REMEMBERED_FAILURES:
+                del self.recent_failures[next(iter(self.recent_failures))]
             event = request.event
-            self.failures[event.request_class, event.key, event.tenant] = request.born
+            self.recent_failures[event.request_class, event.key, event.tenant] = request.first_asked_at
 
     def _finish(self, request: _Open) -> None:
         """No answer is owed any more: call off what is still out."""
         request.done = True
-        self.held.pop(request.event.id, None)
-        if not request.out:
+        self.queued.pop(request.event.id, None)
+        if not request.in_flight:
             self.requests.pop(request.event.id, None)
         elif self.settings.limits.cancel and not request.streaming:
             self.actions.append(mi.Cancel(request.event.id, len(request.attempts) - 1))
 
-    def _on_gone(self, now: int, event: mi.ClientGone) -> None:
+    def _on_client_gone(self, now: int, event: mi.ClientGone) -> None:
         request = self.requests.get(event.id)
         if request is not None and not request.done:
             self._remember_failure(request)
             self._finish(request)
 
-    def _find(self, event: mi.AttemptStarted | mi.AttemptEnded) -> tuple[_Open | None, _Attempt | None]:
+    def _lookup(self, event: mi.AttemptStarted | mi.AttemptEnded) -> tuple[_Open | None, _Attempt | None]:
         """The request and the attempt, if that is still out."""
         request = self.requests.get(event.id)
         if request is not None and 0 <= event.attempt < len(request.attempts):
             attempt = request.attempts[event.attempt]
-            if attempt.state == OUT:
+            if attempt.state == IN_FLIGHT:
                 return request, attempt
         return request, None
 
     def _on_written(self, now: int, event: mi.AttemptWritten) -> None:
-        request, attempt = self._find(event)
+        request, attempt = self._lookup(event)
         if attempt is not None:
-            attempt.sent, request.useful_until = now, event.give_up_ns
+            attempt.sent_at, request.useful_until = now, event.give_up_ns
             request.cls.outstanding.append((request, attempt))
 
     def _on_started(self, now: int, event: mi.AttemptStarted) -> None:
-        request, attempt = self._find(event)
+        request, attempt = self._lookup(event)
         if attempt is not None and not request.streaming:
             request.streaming = True
-            self._good(now, request, attempt)
+            self._record_success(now, request, attempt)
             if not request.cls.spec.stream:  # the work is done; passing on what came of it takes no room
-                attempt.server.count(-1, attempt.in_room)
-                attempt.in_room = False
-                self._serve_waiting(now, attempt.server.room)
+                attempt.server.add_inflight(-1, attempt.counted)
+                attempt.counted = False
+                self._drain_queue(now, attempt.server.limiter)
 
     def _on_ended(self, now: int, event: mi.AttemptEnded) -> None:
-        request, attempt = self._find(event)
+        request, attempt = self._lookup(event)
         if attempt is None:
             return
-        outcome, server, room = event.outcome, attempt.server, attempt.server.room
-        if attempt.sent > server.started:  # else it tells of the process before
-            server.crowd.told(now, event.report, now - attempt.sent)
-        if room.limit < 1:
+        outcome, server, limiter = event.outcome, attempt.server, attempt.server.limiter
+        if attempt.sent_at > server.started:  # else it tells of the process before
+            server.load_estimate.record_report(now, event.report, now - attempt.sent_at)
+        if limiter.limit < 1:
             # Guards against many balancers that each keep just one request at a server and jam it together.
-            room.rest_until = now + int((now - attempt.sent) * (1 / room.limit - 1))
+            limiter.rest_until = now + int((now - attempt.sent_at) * (1 / limiter.limit - 1))
         attempt.state = DID_NOT_RUN if outcome in mi.NEVER_RAN else BROKE if outcome in BREAKS else MAYBE_RAN
         if not request.streaming or request.cls.spec.stream:
-            server.count(-1, attempt.in_room)
+            server.add_inflight(-1, attempt.counted)
         if outcome is mi.Outcome.OK:
             if not request.streaming:
-                self._good(now, request, attempt)
+                self._record_success(now, request, attempt)
             if not request.done:
                 self._finish(request)
         else:
-            self._bad(now, request, attempt, outcome)
+            self._record_failure(now, request, attempt, outcome)
             if event.final and not request.done:
                 self._finish(request)
         if request.done:
             self.requests.pop(event.id, None)
-        elif not event.kept or not self._send_more(now, request, free=outcome in mi.NEVER_RAN):
-            self._answer(now, request)
-        if self.closes_idle and not server.inflight and self._gap(now) > IDLE_KEPT_NS:
+        elif not event.kept or not self._retry(now, request, free=outcome in mi.NEVER_RAN):
+            self._answer_unserved(now, request)
+        if self.closes_idle and not server.inflight and self._mean_send_gap(now) > MAX_IDLE_GAP_NS:
             self.actions.append(mi.CloseIdle(server.id))
-        self._serve_waiting(now, room)
+        self._drain_queue(now, limiter)
 
-    def _send_more(self, now: int, request: _Open, free: bool) -> bool:
+    def _retry(self, now: int, request: _Open, free: bool) -> bool:
         """A retry, if the class allows one in time; costs budget unless nothing ran before."""
-        if len(request.attempts) >= self.settings.limits.max_attempts or self._hopeless(now, request):
+        if len(request.attempts) >= self.settings.limits.max_attempts or self._is_too_late(now, request):
             return False
-        if not (free or self.retries >= 1) or not self._send_to_pick(now, request):
+        if not (free or self.retries >= 1) or not self._try_send(now, request):
             return False
         if not free:
             self.retries -= 1
@@ -570,230 +560,241 @@
 
     # ---- what answers tell of a server
 
-    def _good(self, now: int, request: _Open, attempt: _Attempt) -> None:
+    def _record_success(self, now: int, request: _Open, attempt: _Attempt) -> None:
         server = attempt.server
         cls = request.cls
-        latency = now - attempt.sent
+        latency = now - attempt.sent_at
         error = latency - cls.mean
         cls.mean += error / 32
         cls.dev += (abs(error) - cls.dev) / 32
         if not attempt.overdue:
-            self.overdue_share += (FEWEST_OVERDUE - self.overdue_share) / 64
-        cls.seen += 1
-        cls.total += latency
-        cls.least = min(cls.least, latency)
-        if cls.seen == FIRST_WINDOW and cls.base >= cls.spec.aim_ns:
-            cls.base, cls.low = max(1.0, cls.total / FIRST_WINDOW), cls.least
-        if cls.seen == BASE_WINDOW:
-            cls.base = max(1.0, min(cls.base * BASE_CREEP, cls.total / BASE_WINDOW))
-            cls.low = min(cls.low * BASE_CREEP, cls.least)
-            cls.seen, cls.total, cls.least = 0, 0, cls.spec.aim_ns
+            self.overdue_share += (MIN_OVERDUE_SHARE - self.overdue_share) / 64
+        cls.window_count += 1
+        cls.window_sum += latency
+        cls.window_min = min(cls.window_min, latency)
+        if cls.window_count == FIRST_WINDOW_ANSWERS and cls.base >= cls.spec.aim_ns:
+            cls.base, cls.low = max(1.0, cls.window_sum / FIRST_WINDOW_ANSWERS), cls.window_min
+        if cls.window_count == BASE_WINDOW_ANSWERS:
+            cls.base = max(1.0, min(cls.base * BASE_GROWTH_PER_WINDOW, cls.window_sum / BASE_WINDOW_ANSWERS))
+            cls.low = min(cls.low * BASE_GROWTH_PER_WINDOW, cls.window_min)
+            cls.window_count, cls.window_sum, cls.window_min = 0, 0, cls.spec.aim_ns
         if attempt.overdue and self.shared:  # a jammed or half-hung server shows in single late answers
-            self._count_on(now, server)
+            self._add_penalty(now, server)
         server.last_ok = now
-        self.zones.heard(now, server.area)
-        server.silent = server.failed_connects = 0
+        self.zones.record_answer(now, server.zone_state)
+        server.overdue_streak = server.failed_connects = 0
         ejections = server.ejections(cls.spec.name)
         if not ejections:
-            cls.faulty += (FEWEST_FAULTY - cls.faulty) / 64
-            self.lost_share += (FEWEST_LOST - self.lost_share) / 128
-        if cls.spec.name in server.by_class:
-            server.by_class[cls.spec.name].errors *= ERROR_FADE
+            cls.faulty += (MIN_ERROR_SHARE - cls.faulty) / 64
+            self.lost_share += (MIN_LOST_SHARE - self.lost_share) / 128
+        if cls.spec.name in server.class_ejections:
+            server.class_ejections[cls.spec.name].errors *= ERROR_DECAY
         if now >= server.warm_at:
             self.warm_answers += 1
-        elif attempt.sent > server.started:
-            self._cold_answer(now, server, self.shared is None or latency < FINE * cls.spec.aim_ns)
-        self._adapt(now, server, cls, latency)
-        for ejection in ejections:
-            ejection.needed -= 1
-            ejection.out_until = now
-            if ejection.needed <= 0:
-                ejection.ejected = False
-                ejection.backoff = FIRST_BACKOFF_NS
-                server.down = server.down and ejection is not server.whole
-                of = "" if ejection in (server.whole, server.area.suspicion) else f" for {cls.spec.name}"
+        elif attempt.sent_at > server.started:
+            self._record_cold(now, server, self.shared is None or latency < COLD_RATIO * cls.spec.aim_ns)
+        self._adjust_limit(now, server, cls, latency)
+        for state in ejections:
+            state.trials_needed -= 1
+            state.trial_at = now
+            if state.trials_needed <= 0:
+                state.ejected = False
+                state.backoff_ns = INITIAL_BACKOFF_NS
+                server.unreachable = server.unreachable and state is not server.ejection
+                of = "" if state in (server.ejection, server.zone_state.ejection) else f" for {cls.spec.name}"
                 self.actions.append(mi.Log(f"server {server.id} returned{of}"))
 
-    def _cold_answer(self, now: int, server: _Server, fine: bool) -> None:
-        server.budget.answered(now, fine)
-        self.pace.follow(fine)
+    def _record_cold(self, now: int, server: _Server, good: bool) -> None:
+        server.budget.record_answer(now, good)
+        self.cold_factor.adjust(good)
 
-    def _count_on(self, now: int, server: _Server) -> None:
+    def _add_penalty(self, now: int, server: _Server) -> None:
         """Count an attempt that ended as in flight for a while.
 
         Guards against fast failures, where a failing server would have the lowest count and draw its keys,
         and against overload where a server goes on with work that nobody waits for any more. With many
         balancers each remembers until it would have met the server again, and takes none of the common room.
         """
-        span = self.longest_aim if self.shared is None else max(self.longest_aim, self._gap(now))
-        server.count(1, self.shared is None)
+        span = self.longest_aim if self.shared is None else max(self.longest_aim, self._mean_send_gap(now))
+        server.add_inflight(1, self.shared is None)
         self.penalties.append((now + span, server))
 
-    def _gap(self, now: int) -> int:
+    def _mean_send_gap(self, now: int) -> int:
         """How long it takes, on average, until we send to the same server again."""
         return len(self.ready) * (now - self.started_at) // self.arrivals
 
-    def _bad(self, now: int, request: _Open, attempt: _Attempt, outcome: mi.Outcome) -> None:
+    def _record_failure(self, now: int, request: _Open, attempt: _Attempt, outcome: mi.Outcome) -> None:
         server = attempt.server
-        if outcome in OVERDRIVEN and self.shared and now < server.warm_at and attempt.sent > server.started:
-            self._cold_answer(now, server, False)
-        if outcome in COUNTS_ON:
-            self._count_on(now, server)
+        if outcome in OVERLOADS and self.shared and now < server.warm_at and attempt.sent_at > server.started:
+            self._record_cold(now, server, False)
+        if outcome in PENALIZED:
+            self._add_penalty(now, server)
         if outcome is mi.Outcome.ERROR or outcome is mi.Outcome.RESET:
-            self._hold_against(now, server, request.cls, "errors")
+            self._record_error(now, server, request.cls, "errors")
         elif outcome is mi.Outcome.TIMEOUT:
             ejections = server.ejections(request.cls.spec.name)
             if not ejections:
                 self.lost_share += (1 - self.lost_share) / 128
             # An attempt that was sent late times out early: that is no sign of a fast server.
-            self._adapt(now, server, request.cls, max(now - attempt.sent, request.cls.spec.aim_ns))
-            for ejection in ejections:
+            self._adjust_limit(now, server, request.cls, max(now - attempt.sent_at, request.cls.spec.aim_ns))
+            for state in ejections:
                 # Of a zone only its trial counts, not what was out there when it was held.
-                if ejection is server.area.suspicion and attempt.sent < ejection.out_until - ejection.backoff:
+                if (
+                    state is server.zone_state.ejection
+                    and attempt.sent_at < state.trial_at - state.backoff_ns
+                ):
                     continue
-                self._eject(now, server, ejection, ejection.needed, "silence")
+                self._eject(now, server, state, state.trials_needed, "silence")
         elif outcome is mi.Outcome.REJECTED:
             # Who is turned away with one request in flight is not turned away for a crowd of ours: cutting
             # on would only starve the classes that the server takes.
-            room = server.room
-            least = min(room.limit, max(LEAST_LIMIT, min(1.0, room.start / 2)))
-            room.limit = max(least, room.limit * (1 - 0.5 / room.servers))
-            self._hold_against(now, server, request.cls, "turning away")
+            limiter = server.limiter
+            least = min(limiter.limit, max(MIN_LIMIT, min(1.0, limiter.initial_limit / 2)))
+            limiter.limit = max(least, limiter.limit * (1 - 0.5 / limiter.servers))
+            self._record_error(now, server, request.cls, "turning away")
         elif outcome is mi.Outcome.CONNECT_FAILED:
             # The list may be late or away: what cannot be reached is out at once, and tried now and then.
             # But a single connection may break at a server that goes on answering over others.
             server.failed_connects += 1
-            if server.failed_connects >= FAILED_CONNECTS or now > server.last_ok + FIRST_BACKOFF_NS:
-                server.down = True
-                self._eject(now, server, server.whole, 1, "no connection")
+            if server.failed_connects >= MAX_FAILED_CONNECTS or now > server.last_ok + INITIAL_BACKOFF_NS:
+                server.unreachable = True
+                self._eject(now, server, server.ejection, 1, "no connection")
 
-    def _hold_against(self, now: int, server: _Server, cls: _Class, reason: str) -> None:
+    def _record_error(self, now: int, server: _Server, cls: _Class, reason: str) -> None:
         """Guards a server that fails one class and serves another well: what it fails counts for that alone.
 
         And where answers are spoilt or break off at all servers alike, they say little of a single one.
         """
         name = cls.spec.name
-        suspicion = server.by_class.setdefault(name, _Suspicion())
-        suspicion.errors += max(LEAST_ERROR, math.log(cls.faulty) / math.log(FEWEST_FAULTY))
+        ejection = server.class_ejections.setdefault(name, _Ejection())
+        ejection.errors += max(MIN_ERROR_WEIGHT, math.log(cls.faulty) / math.log(MIN_ERROR_SHARE))
         if not server.ejections(name):
             cls.faulty += (1 - cls.faulty) / 64
-        if suspicion.errors >= ERRORS_OUT:
-            self._eject(now, server, suspicion, TRIALS_BACK, f"{reason} of {name}")
+        if ejection.errors >= EJECTION_ERRORS:
+            self._eject(now, server, ejection, TRIALS_AFTER_ERRORS, f"{reason} of {name}")
 
-    def _adapt(self, now: int, server: _Server, cls: _Class, latency: int) -> None:
+    def _adjust_limit(self, now: int, server: _Server, cls: _Class, latency: int) -> None:
         """Guards against overload, and servers turning slow in a crowd: keep answers well within the aim."""
-        target = TARGET * cls.spec.aim_ns
-        if not self._takes_room(now, server):
+        target = TARGET_RATIO * cls.spec.aim_ns
+        if not self._is_limited(now, server):
             return
         if now >= server.warm_at:  # a cold server is slow by itself: that is no sign of a crowd
-            crowded = max(UNCROWDED * cls.base, CROWDED * cls.base - (CROWDED - 1) * cls.low)
-            target = min(target, crowded * self.slowdown)
+            crowd_target = max(UNCROWDED * cls.base, MAX_CROWDING * cls.base - (MAX_CROWDING - 1) * cls.low)
+            target = min(target, crowd_target * self.slowdown)
             if cls.base < cls.spec.aim_ns:
-                server.crowd.answered(now, latency / cls.base, server.inflight)
-                self.judged += 1
-                self.slowness += latency / cls.base
-                self.busy_ns += latency
-        server.room.follow(LIMIT_GAIN * (1 - min(latency / target, 3.0)) / 2)
-
-    def _eject(self, now: int, server: _Server, held: _Suspicion, needed: int, reason: str) -> None:
-        if held.ejected:
-            held.backoff = min(LAST_BACKOFF_NS, held.backoff * 2)
+                server.load_estimate.record_answer(now, latency / cls.base, server.inflight)
+                self.sample_size += 1
+                self.sample_slowness += latency / cls.base
+                self.sample_busy_ns += latency
+        server.limiter.adjust(LIMIT_GAIN * (1 - min(latency / target, 3.0)) / 2)
+
+    def _eject(self, now: int, server: _Server, ejection: _Ejection, trials: int, reason: str) -> None:
+        if ejection.ejected:
+            ejection.backoff_ns = min(MAX_BACKOFF_NS, ejection.backoff_ns * 2)
         else:
-            name = next((n for n, s in server.by_class.items() if s is held), "")
-            area = server.area.suspicion
-            out = sum(1 for s in self.ready if s.ejections(name) and not (s.down or s.area.suspicion.ejected))
-            if not (server.down or held is area) and out + 1 > MOST_OUT * len(self.ready):
+            name = next((n for n, s in server.class_ejections.items() if s is ejection), "")
+            zone_ejection = server.zone_state.ejection
+            ejected = sum(
+                1
+                for s in self.ready
+                if s.ejections(name) and not (s.unreachable or s.zone_state.ejection.ejected)
+            )
+            if not (
+                server.unreachable or ejection is zone_ejection
+            ) and ejected + 1 > MAX_EJECTED_SHARE * len(self.ready):
                 return
-            held.ejected = True
+            ejection.ejected = True
             if self.shared is not None and server.ejected:
-                self._free_room()
+                self._release_ejected()
             self.actions.append(mi.Log(f"server {server.id} ejected: {reason}"))
-        held.needed = max(needed, 1)
-        held.out_until = now + held.backoff
+        ejection.trials_needed = max(trials, 1)
+        ejection.trial_at = now + ejection.backoff_ns
 
     # ---- housekeeping
 
     def _on_timer(self, now: int, event: mi.TimerFired) -> None:
-        if event.token == ASK_AGAIN and self.settings.ask_for_list:
+        if event.token == RESUBSCRIBE and self.settings.ask_for_list:
             self.actions.append(mi.Subscribe())
         if event.token != TICK or not self.ticking:
             return
         self.ticking = False
         while self.penalties and self.penalties[0][0] <= now:
-            self.penalties.popleft()[1].count(-1, self.shared is None)
+            self.penalties.popleft()[1].add_inflight(-1, self.shared is None)
         if now >= self.second_ends:
-            self._measure(now)
-        if self.judged >= (ONE_LOOK if now < self.judged_from + mi.NS_PER_S else SHORT_LOOK):
-            self._judge_pace(now)
+            self._update_warm_rate(now)
+        if self.sample_size >= (FULL_SAMPLE if now < self.sample_from + mi.NS_PER_S else MIN_SAMPLE):
+            self._update_slowdown(now)
         for cls in self.classes.values():
             self._check_overdue(now, cls)
-        for request in sorted(self.held.values(), key=lambda r: -r.value):
+        for request in sorted(self.queued.values(), key=lambda r: -r.value):
             # Guards clients that wait in vain: past half of their time a refusal costs them more.
-            if self._hopeless(now, request) or now + self.tick_ns > request.decide_by:
-                self._answer(now, request)
+            if self._is_too_late(now, request) or now + self.tick_ns > request.decide_by:
+                self._answer_unserved(now, request)
             else:
-                self._send_to_pick(now, request)
+                self._try_send(now, request)
 
-    def _free_room(self) -> None:
+    def _release_ejected(self) -> None:
         """What is out at servers that fell silent takes no room from the others: it tells of no crowd."""
         for request in self.requests.values():
-            attempt = request.attempts[-1] if request.out else None
-            if attempt is not None and attempt.in_room and attempt.server.ejected:
-                attempt.in_room = False
-                attempt.server.room.inflight -= 1
+            attempt = request.attempts[-1] if request.in_flight else None
+            if attempt is not None and attempt.counted and attempt.server.ejected:
+                attempt.counted = False
+                attempt.server.limiter.inflight -= 1
 
-    def _measure(self, now: int) -> None:
+    def _update_warm_rate(self, now: int) -> None:
         """What a warm server of weight 1 bears of our traffic, learnt while enough are warm."""
         seconds = (now - self.second_ends) / mi.NS_PER_S + 1.0
         # Only those in use: after a restart with a stale list most of those named may be dead.
         warm = self._warm_weight(now)
-        if warm and warm >= sum(s.weight for s in self.ready if not s.ejected) * FEWEST_WARM:
+        if warm and warm >= sum(s.weight for s in self.ready if not s.ejected) * MIN_WARM_SHARE:
             rate = self.warm_answers / seconds / warm
             self.warm_rate = rate if self.warm_rate is None else self.warm_rate + (rate - self.warm_rate) / 8
         self.warm_answers = 0
-        self._size_room(now)
+        self._resize_limiter(now)
         self.second_ends = now + mi.NS_PER_S
-        for tenant in self.asked:
-            self.asked[tenant] *= RECENT
+        for tenant in self.tenant_counts:
+            self.tenant_counts[tenant] *= TENANT_DECAY_PER_S
 
     def _warm_weight(self, now: int) -> float:
         return sum(s.weight for s in self.ready if now >= s.warm_at and not s.ejected)
 
-    def _judge_pace(self, now: int) -> None:
+    def _update_slowdown(self, now: int) -> None:
         """Guards against cutting for nothing, where all servers' work, or what they wait for, got slower.
 
         Where answers are slower than what more requests in flight explain (Little's law), it is no crowd.
         """
         warm = self._warm_weight(now)
-        slow = self.slowness / self.judged
-        busy = self.busy_ns / (max(1, now - self.judged_from) * max(warm, 0.01))
-        pace = slow / max(1.0, busy / self.usual) if self.usual else 1.0
-        pace = max(pace, min(slow, self.slowdown))
-        if pace > self.slowdown * UNCROWDED:
+        slow = self.sample_slowness / self.sample_size
+        busy = self.sample_busy_ns / (max(1, now - self.sample_from) * max(warm, 0.01))
+        slowdown = slow / max(1.0, busy / self.usual) if self.usual else 1.0
+        slowdown = max(slowdown, min(slow, self.slowdown))
+        if slowdown > self.slowdown * UNCROWDED:
             for server in self.ready:  # what was cut in vain is given back, up to half a first guess
-                server.room.limit = max(server.room.limit, server.room.start / 2)
-        self.slowdown += ((pace if pace > UNCROWDED else 1.0) - self.slowdown) / 2
-        if slow < UNCROWDED and not self.held:
+                server.limiter.limit = max(server.limiter.limit, server.limiter.initial_limit / 2)
+        self.slowdown += ((slowdown if slowdown > UNCROWDED else 1.0) - self.slowdown) / 2
+        if slow < UNCROWDED and not self.queued:
             self.usual += (busy - self.usual) / (8 if self.usual else 1)
-        self.judged = self.busy_ns = 0
-        self.slowness = 0.0
-        self.judged_from = now
+        self.sample_size = self.sample_busy_ns = 0
+        self.sample_slowness = 0.0
+        self.sample_from = now
 
     def _check_overdue(self, now: int, cls: _Class) -> None:
         """Overdue attempts are evidence against a server long before they time out (hangs and freezes)."""
-        patience = min(cls.mean + 3 * cls.dev, cls.spec.aim_ns * 0.6)
+        overdue_after = min(cls.mean + 3 * cls.dev, cls.spec.aim_ns * 0.6)
         queue = cls.outstanding
-        while queue and (queue[0][1].state != OUT or queue[0][1].sent + patience <= now):
+        while queue and (queue[0][1].state != IN_FLIGHT or queue[0][1].sent_at + overdue_after <= now):
             request, attempt = queue.popleft()
-            if attempt.state != OUT or request.streaming:
+            if attempt.state != IN_FLIGHT or request.streaming:
                 continue
             attempt.overdue = True
             self.overdue_share += (1 - self.overdue_share) / 64
             server = attempt.server
-            if server.last_ok <= attempt.sent:
-                server.silent += 1
-                if now >= server.warm_at and self.zones.silent(server.id, attempt.sent, server.area):
-                    self._eject(now, server, server.area.suspicion, 1, f"silence of zone {server.zone}")
+            if server.last_ok <= attempt.sent_at:
+                server.overdue_streak += 1
+                if now >= server.warm_at and self.zones.record_overdue(
+                    server.id, attempt.sent_at, server.zone_state
+                ):
+                    self._eject(now, server, server.zone_state.ejection, 1, f"silence of zone {server.zone}")
                 # Judged against the fleet: where all are slow, slowness is no sign of a hang.
-                if not server.ejected and self.overdue_share**server.silent < SILENT_CHANCE:
-                    self._eject(now, server, server.whole, 1, "silence")
+                if not server.ejected and self.overdue_share**server.overdue_streak < MAX_CHANCE:
+                    self._eject(now, server, server.ejection, 1, "silence")
--- a/iristrack/recovery/aging.py
+++ b/iristrack/recovery/aging.py
@@ -22,12 +22,12 @@
 from typing import Any
 
 NS_PER_S = 1_000_000_000
-FEWEST_WEIGHT = 0.05
-MOST_EJECTED = 0.5  # of the servers that a snapshot may bring back ejected
+MIN_WEIGHT = 0.05
+MAX_EJECTED_SHARE = 0.5  # of the servers that a snapshot may bring back ejected
 RETRIES_PER_S = 0.1  # what the budget is granted for each second that has passed
-MOST_LIMIT = 16.0  # first guesses that a kept limit may come to
-MOST_SERVERS = 4096
-MOST_KEYS = 512
+MAX_LIMIT_RATIO = 16.0  # first guesses that a kept limit may come to
+MAX_SERVERS = 4096
+MAX_KEYS = 512
 HALF_LIVES_NS = {
     "limits": 60 * NS_PER_S,
     "suspicions": 8 * NS_PER_S,
@@ -37,7 +37,7 @@
     "tenants": 20 * NS_PER_S,
     "popular": 120 * NS_PER_S,
 }
-KINDS = {
+KIND_OF_FIELD = {
     "overdue_share": "shares", "lost_share": "shares", "slowdown": "shares", "usual": "rates", "warm_rate": "rates",
     "retries": "retries",
 }  # fmt: skip
@@ -50,7 +50,7 @@
     if age_ns < 0:
         return 0.0
     left = 2.0 ** (-age_ns / HALF_LIVES_NS[kind])
-    return left if left >= FEWEST_WEIGHT else 0.0
+    return left if left >= MIN_WEIGHT else 0.0
 
 
 def blend(fresh: float, kept: float, w: float) -> float:
@@ -83,7 +83,7 @@
 
 def _balancer(kept: Snapshot, fresh: Snapshot, age_ns: int) -> Snapshot:
     found = dict(fresh)
-    for name, kind in KINDS.items():
+    for name, kind in KIND_OF_FIELD.items():
         value = kept.get(name)
         if value is None or name not in fresh:
             continue
@@ -108,7 +108,7 @@
 def _popular(kept: Snapshot, w: float) -> dict[str, int]:
     if not w:
         return {}
-    most = sorted(kept.items(), key=lambda item: (-_number(item[1]), item[0]))[:MOST_KEYS]
+    most = sorted(kept.items(), key=lambda item: (-_number(item[1]), item[0]))[:MAX_KEYS]
     return {str(key): int(count * w) for key, count in most if count * w >= 1}
 
 
@@ -133,9 +133,9 @@
     found: Snapshot = {}
     w = remaining_weight("limits", age_ns)
     suspected = remaining_weight("suspicions", age_ns)
-    for name in sorted(kept)[:MOST_SERVERS]:
+    for name in sorted(kept)[:MAX_SERVERS]:
         own = kept[name]
-        limit = min(MOST_LIMIT, max(1 / MOST_LIMIT, _number(own["limit"])))
+        limit = min(MAX_LIMIT_RATIO, max(1 / MAX_LIMIT_RATIO, _number(own["limit"])))
         server = {
             "started": int(_number(own["started"])),
             "limit": math.exp(math.log(limit) * w) if w else 1.0,
@@ -148,7 +148,7 @@
             left = max(0, int(_number(left_ns)) - age_ns)
             stays = bool(ejected) and bool(suspected)
             errors = _number(errors) * suspected
-            if stays or errors >= FEWEST_WEIGHT:
+            if stays or errors >= MIN_WEIGHT:
                 server["suspicions"][str(of)] = [
                     stays,
                     errors,
@@ -168,7 +168,7 @@
         return max((s[3] for s in servers[name]["suspicions"].values() if s[0]), default=-1)
 
     out = sorted((n for n in servers if servers[n]["down"] or longest(n) >= 0), key=lambda n: (longest(n), n))
-    for name in out[: max(0, len(out) - int(MOST_EJECTED * len(servers)))]:
+    for name in out[: max(0, len(out) - int(MAX_EJECTED_SHARE * len(servers)))]:
         server = servers[name]
         server["down"], server["failed_connects"], server["silent"] = False, 0, 0
         server["suspicions"] = {}
--- a/iristrack/recovery/pack.py
+++ b/iristrack/recovery/pack.py
@@ -13,14 +13,14 @@
 from typing import Any
 
 Record = tuple[str, Any]
-PARTS = ("balancer", "tenants", "popular")
-MOST_KEYS = 512
+WHOLE_PARTS = ("balancer", "tenants", "popular")
+MAX_KEYS = 512
 
 
 def pack(snapshot: dict, at_ns: int, name: str, writer: str) -> list[Record]:
     """A whole snapshot as records, in an order that depends on names alone."""
     records: list[Record] = [("meta", {"at": at_ns, "name": name, "writer": writer})]
-    popular = sorted(snapshot["popular"].items(), key=lambda item: (-item[1], item[0]))[:MOST_KEYS]
+    popular = sorted(snapshot["popular"].items(), key=lambda item: (-item[1], item[0]))[:MAX_KEYS]
     records += [
         ("balancer", snapshot["balancer"]),
         ("tenants", snapshot["tenants"]),
@@ -51,7 +51,7 @@
         try:
             if kind == "meta":
                 meta = {"at": int(body["at"]), "name": str(body["name"]), "writer": str(body["writer"])}
-            elif kind in PARTS:
+            elif kind in WHOLE_PARTS:
                 found[kind] = dict(body)
             elif kind in ("class", "server"):
                 name, values = body
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.balance import RETRY_BURST, Balancer
+from iristrack.balance import MAX_RETRY_TOKENS, Balancer
 from iristrack.interface import ListKind, Outcome, ServerState
 from iristrack.recovery.aging import NS_PER_S, age_snapshot, remaining_weight
 from tests.driver import MS, Host, settings
@@ -57,7 +57,7 @@
     kept = host.balancer.snapshot(host.now)
     assert json.loads(json.dumps(kept)) == kept
     again = restarted(kept, 0)
-    assert not again.balancer.requests and not again.balancer.held and not again.timers and not again.log
+    assert not again.balancer.requests and not again.balancer.queued and not again.timers and not again.log
     assert all(s.inflight == 0 for s in again.balancer.servers.values())
 
 
@@ -70,7 +70,7 @@
     for name in old.classes:
         assert new.classes[name].mean == pytest.approx(old.classes[name].mean)
     for name, server in old.servers.items():
-        assert new.servers[name].room.limit == pytest.approx(server.room.limit, rel=1e-6)
+        assert new.servers[name].limiter.limit == pytest.approx(server.limiter.limit, rel=1e-6)
     request = again.ask("read", "k1")
     assert again.sends(request)[0].server != host.bad
 
@@ -101,7 +101,7 @@
     kept = host.balancer.snapshot(host.now)
     again = restarted(kept, SECOND, started_ns=4 * SECOND)
     assert not any(s.ejected for s in again.balancer.servers.values())
-    assert all(s.room.limit == s.room.start for s in again.balancer.servers.values())
+    assert all(s.limiter.limit == s.limiter.initial_limit for s in again.balancer.servers.values())
 
 
 def test_a_server_that_came_back_cold_is_cold_whatever_the_file_praises() -> None:
@@ -126,7 +126,7 @@
     host = trained_host()
     again = restarted(host.balancer.snapshot(host.now), 0)
     again.list([again.entry(i) for i in range(6) if again.entry(i).server != host.bad], ListKind.FULL)
-    assert not again.balancer.known
+    assert not again.balancer.known_servers
     again.list([again.entry(i) for i in range(6)], ListKind.FULL)
     assert not again.balancer.servers[host.bad].ejected
 
@@ -148,7 +148,7 @@
     for _ in range(10):
         kept = Balancer(settings(), 1, age_snapshot(kept, fresh(), 6 * SECOND)).snapshot(0)
     assert kept["balancer"]["retries"] == pytest.approx(0.5 + 10 * 0.6)
-    assert age_snapshot(kept, fresh(), 3600 * SECOND)["balancer"]["retries"] == RETRY_BURST
+    assert age_snapshot(kept, fresh(), 3600 * SECOND)["balancer"]["retries"] == MAX_RETRY_TOKENS
 
 
 def test_what_is_no_snapshot_is_said_and_nothing_else() -> None:
@@ -189,7 +189,7 @@
     except ValueError:
         return
     balancer = Balancer(settings(), 1, found)
-    assert 0 <= balancer.retries <= RETRY_BURST and all(c.mean >= 0 for c in balancer.classes.values())
+    assert 0 <= balancer.retries <= MAX_RETRY_TOKENS and all(c.mean >= 0 for c in balancer.classes.values())
 
 
 def test_states_of_discovery_still_rule() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,37 +11,48 @@
 from hypothesis import strategies as st
 
 from iristrack.interface import NS_PER_S, AttemptEnded, Contract, ListKind, Outcome
-from iristrack.limits.cold_start import ColdBudget, ColdPace, granted_share
-from iristrack.limits.load_estimate import FADES_NS, MOST_TOLD, TRUSTED_NS, Crowd, figures
+from iristrack.limits.cold_start import ColdBudget, ColdRateFactor, granted_share
+from iristrack.limits.load_estimate import (
+    MAX_REPORTED,
+    REPORT_FADE_NS,
+    REPORT_VALID_NS,
+    LoadEstimate,
+    parse_report,
+)
 
 REPORT = {"qps": 40.0, "latency_ms": 100.0, "queue": 2.0, "eps": 0.0}  # six in hand
 
 
-def told(crowd: Crowd, now: int, took: int = 0, **changes: float) -> Crowd:
+def told(crowd: LoadEstimate, now: int, took: int = 0, **changes: float) -> LoadEstimate:
     """Forty answers within four seconds, the last one at `now`, each after `took` ns."""
     for i in range(40):
-        crowd.told(now - (39 - i) * 100 * MS, REPORT | changes, took)
+        crowd.record_report(now - (39 - i) * 100 * MS, REPORT | changes, took)
     return crowd
 
 
 def test_what_others_hold_is_what_the_server_holds_less_our_own() -> None:
     steady = {"qps": 60.0, "queue": 0.0}
-    alone, among = told(Crowd(6, NS_PER_S), 0, **steady), told(Crowd(6, NS_PER_S), 0, 200 * MS, **steady)
-    assert alone.others_at(0) == pytest.approx(6, abs=0.2)
-    assert among.others_at(0) == pytest.approx(4, abs=0.3)  # ten answers a second, each after 0.2 s
+    alone, among = (
+        told(LoadEstimate(6, NS_PER_S), 0, **steady),
+        told(LoadEstimate(6, NS_PER_S), 0, 200 * MS, **steady),
+    )
+    assert alone.others_inflight_at(0) == pytest.approx(6, abs=0.2)
+    assert among.others_inflight_at(0) == pytest.approx(4, abs=0.3)  # ten answers a second, each after 0.2 s
     assert among.full(0, 3) and not among.full(0, 1)
 
 
 def test_many_answers_with_one_report_count_no_more_than_one() -> None:
-    crowd = told(Crowd(6, NS_PER_S), 0, queue=0.0, latency_ms=25.0)
+    crowd = told(LoadEstimate(6, NS_PER_S), 0, queue=0.0, latency_ms=25.0)
     for i in range(100):
-        crowd.told(i * MS // 10, REPORT | {"latency_ms": 900.0}, 0)  # a heavy request has just ended there
-    assert crowd.others_at(10 * MS) < 1.5
+        crowd.record_report(
+            i * MS // 10, REPORT | {"latency_ms": 900.0}, 0
+        )  # a heavy request has just ended there
+    assert crowd.others_inflight_at(10 * MS) < 1.5
 
 
 def test_a_waiting_room_that_fills_lowers_the_bound() -> None:
-    assert told(Crowd(6, NS_PER_S), 0, queue=0.0).bound == 6
-    assert told(Crowd(6, NS_PER_S), 0, queue=2.0).bound < 3
+    assert told(LoadEstimate(6, NS_PER_S), 0, queue=0.0).bound == 6
+    assert told(LoadEstimate(6, NS_PER_S), 0, queue=2.0).bound < 3
 
 
 @pytest.mark.parametrize(
@@ -52,19 +63,19 @@
     ],
 )  # fmt: skip
 def test_a_report_that_cannot_tell_changes_nothing(report: dict | None) -> None:
-    crowd = Crowd(6, NS_PER_S)
-    assert not crowd.told(0, report, 0) and not crowd.full(0, 100)
-    before = told(crowd, 0).others
-    assert not crowd.told(5, report, MS) and crowd.others == before
+    crowd = LoadEstimate(6, NS_PER_S)
+    assert not crowd.record_report(0, report, 0) and not crowd.full(0, 100)
+    before = told(crowd, 0).others_inflight
+    assert not crowd.record_report(5, report, MS) and crowd.others_inflight == before
 
 
 def test_a_lie_of_a_great_crowd_leaves_one_request_and_an_old_one_is_forgotten() -> None:
-    crowd = told(Crowd(6, NS_PER_S), 0, queue=1e300)
-    assert crowd.others <= MOST_TOLD
+    crowd = told(LoadEstimate(6, NS_PER_S), 0, queue=1e300)
+    assert crowd.others_inflight <= MAX_REPORTED
     assert not crowd.full(0, 0) and crowd.full(0, 1)
-    assert crowd.full(TRUSTED_NS, 1)
+    assert crowd.full(REPORT_VALID_NS, 1)
     assert not crowd.full(
-        TRUSTED_NS + FADES_NS, 3
+        REPORT_VALID_NS + REPORT_FADE_NS, 3
     )  # neither its crowd nor its waiting room is believed any more
     after = 10 * NS_PER_S
     told(
@@ -74,24 +85,26 @@
 
 
 def test_a_slow_server_may_hold_what_it_answers_in_time() -> None:
-    slow = told(Crowd(6, NS_PER_S // 4), 0, qps=4.0, latency_ms=400.0, queue=0.0)
-    fast = told(Crowd(6, NS_PER_S // 4), 0, qps=40.0, latency_ms=40.0, queue=0.0)
+    slow = told(LoadEstimate(6, NS_PER_S // 4), 0, qps=4.0, latency_ms=400.0, queue=0.0)
+    fast = told(LoadEstimate(6, NS_PER_S // 4), 0, qps=40.0, latency_ms=40.0, queue=0.0)
     assert slow.bound < 2 < 5 < fast.bound
-    fast.told(MS, REPORT | {"latency_ms": 400.0, "queue": 0.0}, MS)  # one heavy answer does not make it slow
+    fast.record_report(
+        MS, REPORT | {"latency_ms": 400.0, "queue": 0.0}, MS
+    )  # one heavy answer does not make it slow
     assert fast.bound > 5
 
 
 def test_a_large_server_comes_to_hold_more_while_it_answers_as_if_uncrowded() -> None:
-    crowd = Crowd(6, NS_PER_S)
-    crowd.answered(0, 1.0, 6)
-    assert crowd.most == 6  # it has told nothing so far
+    crowd = LoadEstimate(6, NS_PER_S)
+    crowd.record_answer(0, 1.0, 6)
+    assert crowd.max_bound == 6  # it has told nothing so far
     told(crowd, 0, qps=400.0, queue=0.0)
     for _ in range(400):
-        crowd.answered(0, 1.0, 40)
+        crowd.record_answer(0, 1.0, 40)
     assert crowd.bound > 10
     for _ in range(400):
-        crowd.answered(0, 3.0, 60)
-    assert crowd.most == crowd.least
+        crowd.record_answer(0, 3.0, 60)
+    assert crowd.max_bound == crowd.min_bound
 
 
 @given(
@@ -99,12 +112,12 @@
     st.integers(0, 50),
 )
 def test_no_row_of_reports_starves_a_server_or_breaks_the_estimate(rows: list, own: int) -> None:
-    crowd = Crowd(6, NS_PER_S // 4)
+    crowd = LoadEstimate(6, NS_PER_S // 4)
     for i, (qps, latency_ms, queue) in enumerate(rows):
-        crowd.told(i * MS, {"qps": qps, "latency_ms": latency_ms, "queue": queue}, own * MS)
-        found = figures({"qps": qps, "latency_ms": latency_ms, "queue": queue})
-        assert found is None or all(0 <= x <= MOST_TOLD for x in found)
-    assert 0 <= crowd.others_at(len(rows) * MS) <= MOST_TOLD
+        crowd.record_report(i * MS, {"qps": qps, "latency_ms": latency_ms, "queue": queue}, own * MS)
+        found = parse_report({"qps": qps, "latency_ms": latency_ms, "queue": queue})
+        assert found is None or all(0 <= x <= MAX_REPORTED for x in found)
+    assert 0 <= crowd.others_inflight_at(len(rows) * MS) <= MAX_REPORTED
     assert not crowd.full(len(rows) * MS, 0)
 
 
@@ -126,9 +139,9 @@
     `praised`: other cold servers have answered them all so well that their pace is at its highest.
     """
     sends, queue, done = [], [], 0.0
-    paces = [ColdPace(many, CONTRACT) for _ in sidecars]
+    paces = [ColdRateFactor(many, CONTRACT) for _ in sidecars]
     for pace in paces * 10 * praised:
-        pace.follow(True)
+        pace.adjust(True)
     for now in range(5 * MS, 8 * NS_PER_S, 5 * MS):
         for i, budget in enumerate(sidecars):
             if budget.allows(now, WARM_RATE / len(sidecars), 1, CONTRACT, paces[i]):
@@ -139,9 +152,9 @@
         while queue and done >= 1:
             done -= 1
             sent, i = queue.pop(0)
-            fine = now - sent < NS_PER_S
-            sidecars[i].answered(now, fine)
-            paces[i].follow(fine)
+            good = now - sent < NS_PER_S
+            sidecars[i].record_answer(now, good)
+            paces[i].adjust(good)
     return sends
 
 
@@ -179,9 +192,9 @@
         for i in range(number)
     ]
     budgets = [ColdBudget(draw.random()) for _ in range(number)]
-    paces = [ColdPace(number > 12, contract) for _ in range(number)]
+    paces = [ColdRateFactor(number > 12, contract) for _ in range(number)]
     for pace in paces * 10:
-        pace.follow(True)
+        pace.adjust(True)
     sends, out, queue, done = [], [0] * number, [], 0.0
     able = lambda at: warm_rate * granted_share(at, contract.cold_share, contract.cold_ns)  # noqa: E731
     for now in [*range(10 * MS, NS_PER_S, 10 * MS), *range(7 * NS_PER_S, 10 * NS_PER_S, 10 * MS)]:
@@ -189,7 +202,7 @@
             for i in range(0, number, 2):
                 budgets[i], out[i] = ColdBudget(draw.random()), 0
         for i in draw.sample(range(number), number):
-            if number > 12 and budgets[i].in_hand(now, out[i]):
+            if number > 12 and budgets[i].at_inflight_limit(now, out[i]):
                 continue
             if budgets[i].allows(now, warm_rate * part[i], 1, contract, paces[i]):
                 budgets[i].spend()
@@ -201,8 +214,8 @@
             done -= 1
             sent, i = queue.pop(0)
             out[i] = max(0, out[i] - 1)
-            budgets[i].answered(now, now - sent < NS_PER_S // 2)
-            paces[i].follow(now - sent < NS_PER_S // 2)
+            budgets[i].record_answer(now, now - sent < NS_PER_S // 2)
+            paces[i].adjust(now - sent < NS_PER_S // 2)
     worst = -math.inf
     for start in range(0, 9 * NS_PER_S, 50 * MS):
         granted = contract.overload_factor * able(start) * contract.fall_ns / NS_PER_S
@@ -229,7 +242,7 @@
     # Started in the future, long ago or never told; a clock that steps back; a fleet of one; a share and a size of 0.
     for contract in (CONTRACT, Contract(cold_share=1e-9, cold_ns=1, overload_factor=0.5, fall_ns=NS_PER_S)):
         budget, sent = ColdBudget(0.5), 0
-        pace = ColdPace(False, contract)
+        pace = ColdRateFactor(False, contract)
         for now in (5 * NS_PER_S, 4 * NS_PER_S, 4 * NS_PER_S + MS, 60 * NS_PER_S, 1):
             for rate in (0.0, 0.2):
                 while budget.allows(now, rate, started, contract, pace):
@@ -247,12 +260,15 @@
 
 
 def test_a_server_that_answered_late_gets_none_of_the_pace_that_others_earned() -> None:
-    pace = ColdPace(True, CONTRACT)
+    pace = ColdRateFactor(True, CONTRACT)
     for _ in range(100):
-        pace.follow(True)
-    assert pace.value == pytest.approx(pace.most) and pace.most * CONTRACT.overload_factor / 4 + 1.25 <= 3.0
+        pace.adjust(True)
+    assert (
+        pace.value == pytest.approx(pace.max_value)
+        and pace.max_value * CONTRACT.overload_factor / 4 + 1.25 <= 3.0
+    )
     late, good = ColdBudget(0.0), ColdBudget(0.0)
-    late.answered(0, fine=False)
+    late.record_answer(0, good=False)
     sent = [0, 0]
     for now in range(0, 6 * NS_PER_S, 10 * MS):
         for i, budget in enumerate((late, good)):
@@ -261,15 +277,15 @@
                 sent[i] += 1
     assert 0 < sent[0] < sent[1] / 2
     for _ in range(10):
-        pace.follow(False)
-    assert pace.value == pace.least  # a fleet of which nothing comes back is sent the least
+        pace.adjust(False)
+    assert pace.value == pace.min_value  # a fleet of which nothing comes back is sent the least
 
 
 def test_one_of_few_sidecars_goes_by_the_floor_whatever_is_answered() -> None:
-    pace = ColdPace(False, CONTRACT)
-    for fine in (True, True, False):
-        pace.follow(fine)
-        assert pace.value == pace.least == 1.0
+    pace = ColdRateFactor(False, CONTRACT)
+    for good in (True, True, False):
+        pace.adjust(good)
+        assert pace.value == pace.min_value == 1.0
 
 
 MANY = {"balancers": 100, "contract": CONTRACT}
@@ -328,7 +344,7 @@
     host.now += CONTRACT.cold_ns  # they are warm: the next second's look gives it back
     host.serve(60)
     host.wait(2 * NS_PER_S)
-    assert room.start == pytest.approx(before)
+    assert room.initial_limit == pytest.approx(before)
 
 
 def test_a_server_that_proves_to_be_able_to_more_is_sent_more() -> None:
@@ -346,7 +362,7 @@
         server = host.attempts[request][0]
         host.do(AttemptEnded(request, 0, server, Outcome.OK, True, MS, REPORT))
     for server in host.balancer.servers.values():
-        assert server.budget.answers == 0 and server.crowd.at is None
+        assert server.budget.answers == 0 and server.load_estimate.reported_at is None
 
 
 def test_sidecars_that_see_little_keep_off_a_server_that_tells_of_a_crowd() -> None:
@@ -358,7 +374,7 @@
         host.do(AttemptEnded(request, 0, "s0", Outcome.OK, True, 10 * MS, REPORT))
     sent = [host.ask(key=f"k{i}") for i in range(3)]
     assert [request in host.attempts for request in sent] == [True, False, False]
-    host.wait(TRUSTED_NS + FADES_NS)  # nothing more is heard: the crowd is forgotten
+    host.wait(REPORT_VALID_NS + REPORT_FADE_NS)  # nothing more is heard: the crowd is forgotten
     later = [host.ask(key=f"k{i}") for i in range(2)]
     assert later[0] in host.attempts
 
@@ -374,6 +390,6 @@
             host.do(AttemptEnded(request, number, server, outcome, outcome is Outcome.OK, MS, report))
         host.wait(20 * MS)
     refusing, other = host.balancer.servers["s0"], host.balancer.servers["s1"]
-    assert refusing.crowd.others < 1 and refusing.room.limit < other.room.limit
+    assert refusing.load_estimate.others_inflight < 1 and refusing.limiter.limit < other.limiter.limit
     late = [host.attempts[host.ask(key=f"late{i}")][0] for i in range(2)]
     assert late == ["s1", "s1"]  # it is ejected, but for trials
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -205,8 +205,8 @@
     balancer = host.balancer
     assert not balancer.requests
     assert len(balancer.rankings) <= 8192
-    assert len(balancer.popular) <= 512
-    assert len(balancer.failures) <= 4096
+    assert len(balancer.key_counts) <= 512
+    assert len(balancer.recent_failures) <= 4096
     assert len(balancer.servers) <= 12
     assert not balancer.penalties
     assert all(len(c.outstanding) < 100 for c in balancer.classes.values())
@@ -215,9 +215,9 @@
 def test_what_waited_in_vain_is_forgotten_in_a_long_overload() -> None:
     host = Host(servers=1)
     for server in host.balancer.servers.values():
-        server.count(1000)  # never any room
+        server.add_inflight(1000)  # never any room
     for i in range(3000):
         host.ask("read", f"k{i % 5}")
         host.wait(10 * MS)
-    assert len(host.balancer.held) < 50
-    assert all(len(s.room.waiting) <= 200 for s in host.balancer.servers.values())
+    assert len(host.balancer.queued) < 50
+    assert all(len(s.limiter.waiting) <= 200 for s in host.balancer.servers.values())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 from driver import MS, Host, classes, settings
 
-from iristrack.balance import MOST_CLASSES
+from iristrack.balance import MAX_CLASSES
 from iristrack.interface import (
     NS_PER_S,
     AttemptEnded,
@@ -380,5 +380,5 @@
     host = Host()
     for i in range(500):
         host.end_all(host.ask(f"unheard-of-{i}"), Outcome.OK)
-    assert len(host.balancer.classes) <= MOST_CLASSES
+    assert len(host.balancer.classes) <= MAX_CLASSES
     assert not host.balancer.requests
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -76,7 +76,7 @@
     # Six servers turned one class away whatever their load: their limits fell to 0.1 for both classes.
     host = Host()
     drive(host, 1000, {"s1"}, Outcome.REJECTED)
-    room = host.balancer.servers["s1"].room
+    room = host.balancer.servers["s1"].limiter
     assert room.limit >= 1
     assert drive(host, 40, {"s1"}, Outcome.REJECTED).count("s1") <= 2
     assert drive(host, 40, set(), Outcome.OK, "move").count("s1") > 5
@@ -303,15 +303,15 @@
 
 def test_a_small_share_of_a_crowded_server_grows_back_faster_than_a_big_one() -> None:
     small, big = Host(servers=1), Host(servers=1)
-    small.balancer.servers["s0"].room.limit, big.balancer.servers["s0"].room.limit = 1.0, 12.0
+    small.balancer.servers["s0"].limiter.limit, big.balancer.servers["s0"].limiter.limit = 1.0, 12.0
     for host, out in ((small, 1), (big, 12)):
         running = [host.ask("read", "k") for _ in range(out)]
         host.wait(20 * MS)
         for request in running:
             host.end(request)
     assert (
-        small.balancer.servers["s0"].room.limit - 1.0
-        > 4 * (big.balancer.servers["s0"].room.limit - 12.0) / 12
+        small.balancer.servers["s0"].limiter.limit - 1.0
+        > 4 * (big.balancer.servers["s0"].limiter.limit - 12.0) / 12
     )
 
 
@@ -321,11 +321,11 @@
         request = host.ask("read", "k")
         host.wait(40 * MS)
         host.end(request)
-    limit = host.balancer.servers["s0"].room.limit
+    limit = host.balancer.servers["s0"].limiter.limit
     request = host.ask("read", "k")
     host.wait(120 * MS)  # well within the aim, but three times as long as without a crowd
     host.end_all(request, Outcome.OK)
-    assert host.balancer.servers["s0"].room.limit < limit
+    assert host.balancer.servers["s0"].limiter.limit < limit
 
 
 def test_what_a_class_waits_for_elsewhere_hides_no_crowd() -> None:
@@ -334,11 +334,11 @@
         request = host.ask("read", "k")
         host.wait((140 + 40 * (i % 2)) * MS)  # 140 ms of it are waits on others
         host.end(request)
-    limit = host.balancer.servers["s0"].room.limit
+    limit = host.balancer.servers["s0"].limiter.limit
     request = host.ask("read", "k")
     host.wait(240 * MS)  # one and a half times the usual in all, but five times the work
     host.end_all(request, Outcome.OK)
-    assert host.balancer.servers["s0"].room.limit < limit
+    assert host.balancer.servers["s0"].limiter.limit < limit
 
 
 def stream(host: Host, seconds: int, gap: int, latency: int) -> list[str]:
@@ -431,14 +431,14 @@
 def test_keys_wait_for_their_own_pair_while_others_have_little_room() -> None:
     host = Host(servers=6)
     for name, server in host.balancer.servers.items():
-        server.room.limit = 4.0
-        server.count(3 if name not in ("s0", "s1") else 4)
+        server.limiter.limit = 4.0
+        server.add_inflight(3 if name not in ("s0", "s1") else 4)
     keys = [f"k{i}" for i in range(200)]
     pairs = {k: {s.id for s in host.balancer._ranking(k, 0)[:2]} for k in keys}
     full = next(k for k in keys if pairs[k] == {"s0", "s1"})
     request = host.ask("read", full)
     assert request not in host.attempts  # three of four places taken is not half empty
-    host.balancer.servers["s2"].count(-2)
+    host.balancer.servers["s2"].add_inflight(-2)
     assert host.attempts[host.ask("read", full)] == ["s2"]
 
 
@@ -459,18 +459,18 @@
     host = Host(servers=1)
     host.serve(400)
     server = host.balancer.servers["s0"]
-    before = server.room.limit
+    before = server.limiter.limit
     request = host.ask("read", "k", give_up=30 * MS)
     host.wait(30 * MS)
     host.end_all(request, Outcome.TIMEOUT)
-    assert server.room.limit < before
+    assert server.limiter.limit < before
 
 
 def test_retries_of_what_may_have_run_stay_within_the_budget() -> None:
     host = Host(servers=12)
     host.serve(100)
     for server in host.balancer.servers.values():
-        server.room.limit = 20.0  # so that only the budget stops them
+        server.limiter.limit = 20.0  # so that only the budget stops them
     before = len(host.sends())
     asked = [host.ask("read", f"k{i}") for i in range(36)]
     asked = [r for r in asked if r in host.attempts]
