--- a/iristrack/balance.py
+++ b/iristrack/balance.py
@@ -1,8 +1,8 @@
-"""Every decision of the balancer. Read `iristrack/interface.py` first: it names settings, events, actions.
+"""All decisions of the balancer. `iristrack/interface.py` defines its settings, events and actions.
 
-The ordinary path (docs/design.md): a key's hash ranks the ready servers, the first two are its candidates,
-and the one with fewer of this balancer's own requests in flight gets the request.
-All else here is an exception to that path, and each says what it guards against.
+Normal path (docs/design.md): rendezvous hashing of the key ranks the ready servers, the first two are the
+candidates, and the one with fewer of this balancer's own requests in flight gets the request.
+Everything else here is an exception to that path; a docstring or comment names the failure it guards against.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 UNCROWDED = 1.3  # a class counts as uncrowded below this multiple of its uncrowded latency
 BASE_WINDOW_ANSWERS = 64  # answers in one sample of a class's latency
 FULL_SAMPLE = 32  # answers in one sample of the fleet's slowdown
-MIN_SAMPLE = 8  # answers that suffice for that sample after a second
+MIN_SAMPLE = 8  # answers in a sample of the slowdown that has lasted a second
 FIRST_WINDOW_ANSWERS = 16  # answers in the first sample, which sets the base early
 BASE_GROWTH_PER_WINDOW = 1.02  # growth of the lowest latency per sample, so that an old minimum expires
 LIMIT_GAIN = 0.5  # how fast a server's limit follows the latencies
@@ -56,7 +56,7 @@
 MIN_OVERDUE_SHARE = 0.02  # lower bound of the estimated share of overdue attempts
 MIN_LOST_SHARE = 0.01  # lower bound of the estimated share of attempts without any answer
 LOSSY = 0.03  # share of lost attempts from which on overdue attempts are retried in time
-LOSS_RATIO = 1.5  # margin on the wait after which loss is likelier than an exponential latency
+LOSS_RATIO = 1.5  # margin on the wait after which loss explains it better than an exponential latency
 MAX_EJECTED_SHARE = 0.5  # of the ready servers, ejected on suspicion
 MAX_BACKOFF_NS = 8 * mi.NS_PER_S
 MIN_WARM_SHARE = 0.25  # share of the servers in use that must be warm to learn a warm server's rate
@@ -80,10 +80,10 @@
 
 
 class Balancer:
-    """One sidecar's balancer: feed it the clock and an event, carry out the actions it returns."""
+    """The balancer of one sidecar: turns clock readings and events into actions for the host."""
 
     def __init__(self, settings: mi.Settings, seed: int, learned: dict | None = None) -> None:
-        """`seed` is the only source of randomness; `learned` a snapshot that `recovery.aging` has weighed."""
+        """`seed` is the only source of randomness; `learned` is a snapshot processed by `recovery.aging`."""
         self.settings = settings
         self.random = random.Random(seed)
         self.classes = {c.name: _Class(c, TARGET_RATIO, MIN_ERROR_SHARE) for c in settings.classes}
@@ -91,22 +91,22 @@
         self.longest_aim, self.shortest_aim = max(aims), min(aims)
         self.tick_ns = max(settings.resolution_ns, min(aims) // TICKS_PER_AIM)
         self.start_limit = INITIAL_SERVER_LIMIT / settings.balancers
-        # Guards against very many balancers: where each has less than one request at a server, none learns
-        # that server's limit in time, but it does learn from all its answers how much the fleet takes.
+        # With very many balancers, each has less than one request at a server and cannot learn that server's
+        # limit in time. One limit for all servers together can be learned from all answers.
         self.shared = ConcurrencyLimiter(1.0) if self.start_limit < 1 else None
-        # Guards servers against a connection from each of many, unless a new one costs more than to keep it.
+        # Idle connections from many balancers load the servers, unless a new connection costs more.
         costly_handshake = 100 * settings.prices.handshake > settings.prices.connection * settings.balancers
         self.closes_idle = self.shared is not None and not costly_handshake
         self.servers: dict[str, _Server] = {}
         self.ready: list[_Server] = []
         self.rankings: dict[tuple[str, int], list[_Server]] = {}
-        self.key_counts: dict[str, int] = {}  # recent requests of each key
+        self.key_counts: dict[str, int] = {}  # recent requests per key
         self.key_count_sum = 0
         self.requests: dict[str, _Open] = {}
         self.queued: dict[str, _Open] = {}
         self.sequence = 0
         self.penalties: deque[tuple[int, _Server]] = deque()
-        self.recent_failures: dict[tuple, int] = {}  # client retries are matched with their first try
+        self.recent_failures: dict[tuple, int] = {}  # first ask times, to match client retries
         self.retries = MAX_RETRY_TOKENS
         self.overdue_share = MIN_OVERDUE_SHARE
         self.lost_share = MIN_LOST_SHARE
@@ -115,17 +115,15 @@
         self.started_at: int | None = None
         self.arrivals = 0
         self.tenant_shares = {t.name: t.share for t in settings.tenants}
-        self.tenant_counts = dict.fromkeys(self.tenant_shares, 1.0)  # recent requests of each tenant
+        self.tenant_counts = dict.fromkeys(self.tenant_shares, 1.0)  # recent requests per tenant
         self.warm_answers = self.second_ends = 0
         self.sample_size = self.sample_from = self.sample_busy_ns = 0
-        self.sample_slowness = 0.0  # sum of the judged latencies, each against its class's base
+        self.sample_slowness = 0.0  # sum of latencies as multiples of their class's base
         self.zones = ZoneOutages()
-        self.cold_factor = ColdRateFactor(
-            self.shared is not None, settings.contract
-        )  # what cold servers bear
-        self.usual = 0.0  # our requests in flight a server when uncrowded
-        self.slowdown = 1.0  # how much slower than the base answers are when no more than that are
-        self.warm_rate: float | None = None  # answers a second that a warm server gives us
+        self.cold_factor = ColdRateFactor(self.shared is not None, settings.contract)
+        self.usual = 0.0  # our requests in flight per server when uncrowded
+        self.slowdown = 1.0  # latency relative to the base that load does not explain
+        self.warm_rate: float | None = None  # answers per second to us from a warm server of weight 1
         self.handlers = {
             mi.Request: self._on_request,
             mi.AttemptEnded: self._on_ended,
@@ -136,7 +134,9 @@
             mi.TimerFired: self._on_timer,
         }
 
-        self.known_servers = learned["servers"] if learned else {}  # until discovery has told its whole list
+        self.known_servers = (
+            learned["servers"] if learned else {}
+        )  # from the snapshot, until a full list arrives
         if learned:
             self.__dict__.update(learned["balancer"])
             self.tenant_counts |= learned["tenants"]
@@ -146,7 +146,7 @@
                     setattr(self.classes[name], field, value)
 
     def snapshot(self, now: int) -> dict:
-        """What was learned, as plain values: no request, timer or attempt is among them."""
+        """Return what was learned as plain values, without requests, timers and attempts."""
         classes = {n: {f: getattr(c, f) for f in LEARNED_OF_CLASS} for n, c in self.classes.items()}
         return {
             "balancer": {name: getattr(self, name) for name in LEARNED},
@@ -157,11 +157,11 @@
         }
 
     def ejected_server_count(self) -> int:
-        """How many of the listed servers get no class's requests now, but for trials."""
+        """Return how many ready servers are ejected for all classes and get trials only."""
         return sum(1 for s in self.ready if all(s.ejections(name) for name in self.classes))
 
     def handle(self, now: int, event: mi.Event) -> list[mi.Action]:
-        """Take one event at clock `now`; the actions are to be carried out in order."""
+        """Process one event at time `now` and return the actions, to be carried out in order."""
         self.actions = actions = []
         if self.started_at is None:
             self.started_at = self.sample_from = now
@@ -181,7 +181,7 @@
     def _on_list(self, now: int, event: mi.ServerList) -> None:
         if event.kind is mi.ListKind.FAILED:
             if self.settings.ask_for_list:
-                # Out of step: calls of a fleet that failed together would fail together again.
+                # Random delay: sidecars whose calls failed together would otherwise call together again.
                 self.actions.append(mi.SetTimer(RESUBSCRIBE, int(self.random.uniform(*RESUBSCRIBE_DELAY_NS))))
             return
         if event.kind is not mi.ListKind.DELTA:
@@ -215,7 +215,7 @@
         self._resize_limiter(now)
 
     def _resize_limiter(self, now: int) -> None:
-        """The common room is for the warm servers in use: neither cold nor ejected ones take what it grants."""
+        """Size the shared limit by the warm servers in use: cold and ejected ones do not count against it."""
         if self.shared is not None and self.ready:
             in_use = sum(self._is_limited(now, s) for s in self.ready)
             self.shared.resize(len(self.ready), in_use, self.start_limit)
@@ -223,10 +223,10 @@
     # ---- which server
 
     def _draw_key_part(self, key: str) -> int:
-        """Draw a part of the key. A key that is too much for a pair is several: each part has its own pair.
+        """Draw a random part of the key: a key too hot for one pair is split into parts with a pair each.
 
-        Guards against a hot key where many balancers each send little: own counts stay at zero, so that all
-        would send it to one server. How popular a key is, each sees in its own requests.
+        With many balancers that each send little, the in-flight counts stay at zero, so that all would send a
+        hot key to the same server. Each balancer sees in its own requests how hot the key is.
         """
         if self.key_count_sum >= KEY_COUNT_WINDOW:
             self.key_counts = {k: n // 2 for k, n in self.key_counts.items() if n > 1}
@@ -237,8 +237,8 @@
         return self.random.randrange(parts) if parts > 1 else 0
 
     def _ranking(self, key: str | None, part: int) -> list[_Server]:
-        """The ready servers in the key's own order: rendezvous hashing, weighted where weights tell sizes."""
-        if key is None:  # no key: any order will do, so that the first two are two at random
+        """Return the ready servers in the key's order by rendezvous hashing, weighted if weights give sizes."""
+        if key is None:  # random order: the first two are two random choices
             return self.random.sample(self.ready, len(self.ready))
         ranking = self.rankings.get((key, part))
         if ranking is None:
@@ -250,7 +250,7 @@
         return ranking
 
     def _pick_server(self, now: int, request: _Open) -> _Server | None:
-        """The candidate with fewer of our requests in flight; further down the ranking if both are full."""
+        """Return the candidate with fewer of our requests in flight; if both are full, one further down."""
         best = least = None
         seen = 0
         for server in self._ranking(request.event.key, request.key_part):
@@ -259,16 +259,17 @@
             ejections = server.ejections(request.cls.spec.name)
             if ejections:
                 if all(now >= e.trial_at for e in ejections) and seen < 2 and self._has_capacity(now, server):
-                    return server  # a trial
+                    return server  # as a trial
                 continue
             seen += 1
-            # Past the pair only to a half-empty one, as scattered keys make all work dearer, or to a cold one's budget.
+            # Past the pair, take half-empty servers only, since scattered keys make all work more expensive, or
+            # cold ones, which their budget protects.
             too_full = seen > 2 and server.limiter.inflight >= server.limiter.limit * MAX_SPILL_RATIO
             if too_full and self._is_limited(now, server):
                 continue
             if self._has_capacity(now, server):
-                # Ties go to the first, which met the key last. With many balancers counts are nearly always
-                # zero, and one server would get all of a key's requests: there chance settles them, by size.
+                # Ties go to the first server, which served the key last. With many balancers nearly all counts
+                # are zero and one server would get all requests of a key, so ties are random there, by weight.
                 chance = self.random.random() ** (1 / server.weight) if self.shared else 0.0
                 load = server.inflight / server.weight, -chance
                 if best is None or load < least:
@@ -276,8 +277,8 @@
             if seen >= 2 and best is not None:
                 return best
         if best is None and request.attempts and request.attempts[-1].state == BROKE and not self.queued:
-            # Guards a keyed request whose group has no other server to take it: where its connection broke or
-            # fell silent, the same one is asked once more; not in a crowd, which makes answers late as well.
+            # A keyed request whose group has no other server for it is sent to the same server once more if its
+            # connection broke or timed out; not while requests are queued, as overload also makes answers late.
             server = request.attempts[-1].server
             if (
                 request.cls.spec.repeat is mi.Repeat.KEYED
@@ -291,14 +292,14 @@
         return best
 
     def _has_capacity(self, now: int, server: _Server) -> bool:
-        # Guards a server against the crowd that all balancers together make, where its reports tell of it.
+        # Protects a server from all balancers together, if its load reports show their requests.
         if server.load_estimate.full(now, server.inflight) or (
             self._is_limited(now, server) and server.limiter.full(now)
         ):
             return False
         if now >= server.warm_at:
             return True
-        # Guards a cold server against all balancers together: see limits/cold_start.py.
+        # Protects a cold server from all balancers together: see limits/cold_start.py.
         if self.shared is not None and server.budget.at_inflight_limit(now, server.inflight):
             return False
         rate = self.warm_rate
@@ -309,11 +310,11 @@
         return server.budget.allows(now, rate * server.weight, server.started, contract, self.cold_factor)
 
     def _is_limited(self, now: int, server: _Server) -> bool:
-        """The common room is for warm servers in use: a cold one's budget guards it, a silent one tells of no crowd."""
+        """With a shared limit, only warm servers in use count: cold ones have budgets, ejected ones show no load."""
         return self.shared is None or (now >= server.warm_at and not server.ejected)
 
     def _may_send(self, now: int, request: _Open, server: _Server, again: bool = False) -> bool:
-        """Rule 2, and no server twice but `again`: may this server get it after its earlier attempts?"""
+        """Check rule 2 against the earlier attempts; the same server may get it twice only with `again`."""
         spec = request.cls.spec
         for attempt in request.attempts:
             if attempt.server is server and not again:
@@ -332,7 +333,7 @@
         return True
 
     def _repeat_deadline(self, request: _Open, attempt: _Attempt) -> int:
-        """When the group of an attempt that may have run forgets it, and a keyed request must not begin again."""
+        """Return when the attempt's group may forget its key: from then on no repeat may begin."""
         return attempt.sent_at + request.cls.spec.memory_ns - 2 * self.settings.resolution_ns
 
     def _may_reject(self, now: int, request: _Open) -> bool:
@@ -348,7 +349,7 @@
                 return False
         return True
 
-    # ---- a request's life
+    # ---- request life cycle
 
     def _on_request(self, now: int, event: mi.Request) -> None:
         if event.id in self.requests:
@@ -356,10 +357,10 @@
         self.arrivals += 1
         self.retries = min(MAX_RETRY_TOKENS, self.retries + RETRY_TOKENS_PER_REQUEST)
         cls = self.classes.get(event.request_class)
-        if cls is None:  # unknown: as strict as can be
+        if cls is None:  # unknown class: the strictest settings
             left = max(1, event.give_up_ns - now)
             cls = _Class(mi.RequestClass(event.request_class, left, left), TARGET_RATIO, MIN_ERROR_SHARE)
-            if len(self.classes) < MAX_CLASSES:  # names that come from outside must not fill the memory
+            if len(self.classes) < MAX_CLASSES:  # bounds memory: clients choose the names
                 self.classes[event.request_class] = cls
         spec = cls.spec
         first_asked_at = now
@@ -380,7 +381,7 @@
             self._enqueue(now, request)
 
     def _value(self, event: mi.Request, cls: _Class) -> float:
-        """Worth for each unit of work; of a tenant beyond its share, part counts at the low worth."""
+        """Return the worth per unit of work; requests beyond the tenant's share count at the lower worth."""
         value = cls.spec.worth / cls.base
         share = self.tenant_shares.get(event.tenant)
         if share is not None:
@@ -391,11 +392,11 @@
         return value
 
     def _is_too_late(self, now: int, request: _Open) -> bool:
-        """Too late for most answers to come within the aim: work past it would be waste."""
+        """Return whether most answers would come after the aim, so that the work would be wasted."""
         return now + max(self.tick_ns, request.cls.mean + request.cls.dev) > request.useful_until
 
     def _enqueue(self, now: int, request: _Open) -> None:
-        """Its servers are full: wait here, where that costs no server anything; the best worth goes first."""
+        """Queue a request whose servers are full, at no cost to them; the highest worth is sent first."""
         self.queued[request.event.id] = request
         if not request.attempts:
             request.decide_by = now + (request.event.give_up_ns - now) // 2
@@ -403,7 +404,7 @@
         entry = (-request.value, self.sequence, request)
         for limiter in dict.fromkeys(server.limiter for server in self._pair(request)):
             if len(limiter.waiting) > 2 * len(self.queued) + SPARE_QUEUE_ENTRIES:
-                # Guards against a long overload, in which those that waited in vain would pile up here.
+                # Removes requests that left the queue unsent, which would pile up in a long overload.
                 limiter.waiting = [e for e in limiter.waiting if e[2].event.id in self.queued]
                 heapq.heapify(limiter.waiting)
             heapq.heappush(limiter.waiting, entry)
@@ -413,7 +414,7 @@
         return [s for s in ranking if not s.ejections(request.cls.spec.name)][:2]
 
     def _drain_queue(self, now: int, limiter: ConcurrencyLimiter) -> None:
-        """Room may have come up: let in those that wait for it."""
+        """Send queued requests while the limiter has capacity."""
         while limiter.waiting and not limiter.full(now):
             request = limiter.waiting[0][2]
             if request.event.id in self.queued and not self._try_send(now, request):
@@ -440,16 +441,16 @@
         attempt = _Attempt(server, now, self._is_limited(now, server))
         server.add_inflight(1, attempt.counted)
         request.attempts.append(attempt)
-        if not request.event.long:  # that one is judged from its last byte on
+        if not request.event.long:  # a long request is timed from its last byte: see _on_written
             request.cls.outstanding.append((request, attempt))
         self.actions.append(mi.Send(request.event.id, server.id, self._timeout(now, request), begin_by))
 
     def _timeout(self, now: int, request: _Open) -> int:
-        """How long to wait for the attempt that goes out now.
+        """Return the timeout of an attempt that is sent now.
 
-        Guards against connections that fall silent, and answers that stop half-way, at all servers alike: to
-        wait for those until the client leaves would lose each such request. While others are held for want of
-        room it is a crowd that answers late, and more work would not help.
+        If connections at all servers go silent or answers stop half-way, waiting until the client leaves loses
+        each such request, so the attempt ends in time for a retry. While requests are queued, overload makes
+        answers late, and retries would add to it.
         """
         cls, left = request.cls, max(1, request.useful_until - now)
         again = cls.spec.repeat is not mi.Repeat.UNSAFE and self.retries >= 1 and not self.queued
@@ -459,7 +460,7 @@
         return timeout if timeout + cls.mean + cls.dev < left else left
 
     def _answer_unserved(self, now: int, request: _Open) -> None:
-        """The one final answer, other than a served one."""
+        """Give the final answer to a request that no server has answered."""
         event = request.event
         limits = self.settings.limits
         if self._may_reject(now, request):
@@ -470,16 +471,14 @@
         self._finish(request)
 
     def _remember_failure(self, request: _Open) -> None:
-        if (
-            self.settings.marks_retries and request.event.key is not None
-        ):  # else nothing tells whose try it was
+        if self.settings.marks_retries and request.event.key is not None:  # else retries have no match
             if len(self.recent_failures) >= MAX_REMEMBERED_FAILURES:
                 del self.recent_failures[next(iter(self.recent_failures))]
             event = request.event
             self.recent_failures[event.request_class, event.key, event.tenant] = request.first_asked_at
 
     def _finish(self, request: _Open) -> None:
-        """No answer is owed any more: call off what is still out."""
+        """Mark the request as done and cancel an attempt that is still in flight."""
         request.done = True
         self.queued.pop(request.event.id, None)
         if not request.in_flight:
@@ -494,7 +493,7 @@
             self._finish(request)
 
     def _lookup(self, event: mi.AttemptStarted | mi.AttemptEnded) -> tuple[_Open | None, _Attempt | None]:
-        """The request and the attempt, if that is still out."""
+        """Return the open request and the attempt, if that is still in flight."""
         request = self.requests.get(event.id)
         if request is not None and 0 <= event.attempt < len(request.attempts):
             attempt = request.attempts[event.attempt]
@@ -513,7 +512,7 @@
         if attempt is not None and not request.streaming:
             request.streaming = True
             self._record_success(now, request, attempt)
-            if not request.cls.spec.stream:  # the work is done; passing on what came of it takes no room
+            if not request.cls.spec.stream:  # the server's work is done; only the relay goes on
                 attempt.server.add_inflight(-1, attempt.counted)
                 attempt.counted = False
                 self._drain_queue(now, attempt.server.limiter)
@@ -523,10 +522,10 @@
         if attempt is None:
             return
         outcome, server, limiter = event.outcome, attempt.server, attempt.server.limiter
-        if attempt.sent_at > server.started:  # else it tells of the process before
+        if attempt.sent_at > server.started:  # else it was another process
             server.load_estimate.record_report(now, event.report, now - attempt.sent_at)
         if limiter.limit < 1:
-            # Guards against many balancers that each keep just one request at a server and jam it together.
+            # Many balancers with just one request each can overload a server: pause between requests.
             limiter.rest_until = now + int((now - attempt.sent_at) * (1 / limiter.limit - 1))
         attempt.state = DID_NOT_RUN if outcome in mi.NEVER_RAN else BROKE if outcome in BREAKS else MAYBE_RAN
         if not request.streaming or request.cls.spec.stream:
@@ -549,7 +548,7 @@
         self._drain_queue(now, limiter)
 
     def _retry(self, now: int, request: _Open, free: bool) -> bool:
-        """A retry, if the class allows one in time; costs budget unless nothing ran before."""
+        """Retry if class, budget and time allow; `free` retries, after an attempt that did not run, cost nothing."""
         if len(request.attempts) >= self.settings.limits.max_attempts or self._is_too_late(now, request):
             return False
         if not (free or self.retries >= 1) or not self._try_send(now, request):
@@ -558,7 +557,7 @@
             self.retries -= 1
         return True
 
-    # ---- what answers tell of a server
+    # ---- outcomes
 
     def _record_success(self, now: int, request: _Open, attempt: _Attempt) -> None:
         server = attempt.server
@@ -578,7 +577,7 @@
             cls.base = max(1.0, min(cls.base * BASE_GROWTH_PER_WINDOW, cls.window_sum / BASE_WINDOW_ANSWERS))
             cls.low = min(cls.low * BASE_GROWTH_PER_WINDOW, cls.window_min)
             cls.window_count, cls.window_sum, cls.window_min = 0, 0, cls.spec.aim_ns
-        if attempt.overdue and self.shared:  # a jammed or half-hung server shows in single late answers
+        if attempt.overdue and self.shared:  # single late answers show a stuck server
             self._add_penalty(now, server)
         server.last_ok = now
         self.zones.record_answer(now, server.zone_state)
@@ -609,18 +608,18 @@
         self.cold_factor.adjust(good)
 
     def _add_penalty(self, now: int, server: _Server) -> None:
-        """Count an attempt that ended as in flight for a while.
+        """Count an ended attempt as in flight for a while longer.
 
-        Guards against fast failures, where a failing server would have the lowest count and draw its keys,
-        and against overload where a server goes on with work that nobody waits for any more. With many
-        balancers each remembers until it would have met the server again, and takes none of the common room.
+        Otherwise a server that fails fast would have the lowest count and attract its keys, and a server that
+        goes on with abandoned work would be overloaded. With many balancers the penalty lasts until the
+        balancer would send to the server again, and does not count against the shared limit.
         """
         span = self.longest_aim if self.shared is None else max(self.longest_aim, self._mean_send_gap(now))
         server.add_inflight(1, self.shared is None)
         self.penalties.append((now + span, server))
 
     def _mean_send_gap(self, now: int) -> int:
-        """How long it takes, on average, until we send to the same server again."""
+        """Return the mean time (ns) between our requests to the same server."""
         return len(self.ready) * (now - self.started_at) // self.arrivals
 
     def _record_failure(self, now: int, request: _Open, attempt: _Attempt, outcome: mi.Outcome) -> None:
@@ -635,10 +634,10 @@
             ejections = server.ejections(request.cls.spec.name)
             if not ejections:
                 self.lost_share += (1 - self.lost_share) / 128
-            # An attempt that was sent late times out early: that is no sign of a fast server.
+            # An attempt that was sent late times out early, which does not make the server fast.
             self._adjust_limit(now, server, request.cls, max(now - attempt.sent_at, request.cls.spec.aim_ns))
             for state in ejections:
-                # Of a zone only its trial counts, not what was out there when it was held.
+                # For an ejected zone only the trial counts, not attempts sent before the ejection.
                 if (
                     state is server.zone_state.ejection
                     and attempt.sent_at < state.trial_at - state.backoff_ns
@@ -646,24 +645,24 @@
                     continue
                 self._eject(now, server, state, state.trials_needed, "silence")
         elif outcome is mi.Outcome.REJECTED:
-            # Who is turned away with one request in flight is not turned away for a crowd of ours: cutting
-            # on would only starve the classes that the server takes.
+            # A rejection with one request in flight is not due to our load: a lower limit would only starve
+            # the classes that the server accepts.
             limiter = server.limiter
             least = min(limiter.limit, max(MIN_LIMIT, min(1.0, limiter.initial_limit / 2)))
             limiter.limit = max(least, limiter.limit * (1 - 0.5 / limiter.servers))
             self._record_error(now, server, request.cls, "turning away")
         elif outcome is mi.Outcome.CONNECT_FAILED:
-            # The list may be late or away: what cannot be reached is out at once, and tried now and then.
-            # But a single connection may break at a server that goes on answering over others.
+            # The list may be stale or missing, so an unreachable server is ejected at once and gets trials.
+            # A single connection may fail at a server that still answers over others.
             server.failed_connects += 1
             if server.failed_connects >= MAX_FAILED_CONNECTS or now > server.last_ok + INITIAL_BACKOFF_NS:
                 server.unreachable = True
                 self._eject(now, server, server.ejection, 1, "no connection")
 
     def _record_error(self, now: int, server: _Server, cls: _Class, reason: str) -> None:
-        """Guards a server that fails one class and serves another well: what it fails counts for that alone.
+        """Count an error for one class only: a server may fail one class and serve another well.
 
-        And where answers are spoilt or break off at all servers alike, they say little of a single one.
+        Where all servers return errors or break off answers alike, an error says less about a single server.
         """
         name = cls.spec.name
         ejection = server.class_ejections.setdefault(name, _Ejection())
@@ -674,11 +673,11 @@
             self._eject(now, server, ejection, TRIALS_AFTER_ERRORS, f"{reason} of {name}")
 
     def _adjust_limit(self, now: int, server: _Server, cls: _Class, latency: int) -> None:
-        """Guards against overload, and servers turning slow in a crowd: keep answers well within the aim."""
+        """Adjust the limit by a latency, to keep answers within the aim and servers from slowing under load."""
         target = TARGET_RATIO * cls.spec.aim_ns
         if not self._is_limited(now, server):
             return
-        if now >= server.warm_at:  # a cold server is slow by itself: that is no sign of a crowd
+        if now >= server.warm_at:  # a cold server is slow without any load
             crowd_target = max(UNCROWDED * cls.base, MAX_CROWDING * cls.base - (MAX_CROWDING - 1) * cls.low)
             target = min(target, crowd_target * self.slowdown)
             if cls.base < cls.spec.aim_ns:
@@ -727,14 +726,14 @@
         for cls in self.classes.values():
             self._check_overdue(now, cls)
         for request in sorted(self.queued.values(), key=lambda r: -r.value):
-            # Guards clients that wait in vain: past half of their time a refusal costs them more.
+            # After half of the client's time a rejection costs it more than an early one.
             if self._is_too_late(now, request) or now + self.tick_ns > request.decide_by:
                 self._answer_unserved(now, request)
             else:
                 self._try_send(now, request)
 
     def _release_ejected(self) -> None:
-        """What is out at servers that fell silent takes no room from the others: it tells of no crowd."""
+        """Stop counting attempts at ejected servers against the shared limit: they show no overload."""
         for request in self.requests.values():
             attempt = request.attempts[-1] if request.in_flight else None
             if attempt is not None and attempt.counted and attempt.server.ejected:
@@ -742,9 +741,9 @@
                 attempt.server.limiter.inflight -= 1
 
     def _update_warm_rate(self, now: int) -> None:
-        """What a warm server of weight 1 bears of our traffic, learnt while enough are warm."""
+        """Learn the rate at which a warm server of weight 1 answers us, while enough servers are warm."""
         seconds = (now - self.second_ends) / mi.NS_PER_S + 1.0
-        # Only those in use: after a restart with a stale list most of those named may be dead.
+        # Only servers in use: after a restart with a stale list most listed servers may be gone.
         warm = self._warm_weight(now)
         if warm and warm >= sum(s.weight for s in self.ready if not s.ejected) * MIN_WARM_SHARE:
             rate = self.warm_answers / seconds / warm
@@ -759,9 +758,10 @@
         return sum(s.weight for s in self.ready if now >= s.warm_at and not s.ejected)
 
     def _update_slowdown(self, now: int) -> None:
-        """Guards against cutting for nothing, where all servers' work, or what they wait for, got slower.
+        """Learn how much of the fleet's slowdown load does not explain, so that limits are not cut for it.
 
-        Where answers are slower than what more requests in flight explain (Little's law), it is no crowd.
+        If answers are slower than more requests in flight explain (Little's law), the work itself, or a backend
+        that it waits for, has become slower.
         """
         warm = self._warm_weight(now)
         slow = self.sample_slowness / self.sample_size
@@ -769,7 +769,7 @@
         slowdown = slow / max(1.0, busy / self.usual) if self.usual else 1.0
         slowdown = max(slowdown, min(slow, self.slowdown))
         if slowdown > self.slowdown * UNCROWDED:
-            for server in self.ready:  # what was cut in vain is given back, up to half a first guess
+            for server in self.ready:  # undo needless cuts, up to half the initial limit
                 server.limiter.limit = max(server.limiter.limit, server.limiter.initial_limit / 2)
         self.slowdown += ((slowdown if slowdown > UNCROWDED else 1.0) - self.slowdown) / 2
         if slow < UNCROWDED and not self.queued:
@@ -779,7 +779,7 @@
         self.sample_from = now
 
     def _check_overdue(self, now: int, cls: _Class) -> None:
-        """Overdue attempts are evidence against a server long before they time out (hangs and freezes)."""
+        """Find overdue attempts: they show a hung or frozen server long before their timeout."""
         overdue_after = min(cls.mean + 3 * cls.dev, cls.spec.aim_ns * 0.6)
         queue = cls.outstanding
         while queue and (queue[0][1].state != IN_FLIGHT or queue[0][1].sent_at + overdue_after <= now):
@@ -795,6 +795,6 @@
                     server.id, attempt.sent_at, server.zone_state
                 ):
                     self._eject(now, server, server.zone_state.ejection, 1, f"silence of zone {server.zone}")
-                # Judged against the fleet: where all are slow, slowness is no sign of a hang.
+                # Compared with the fleet: where all servers are slow, slowness does not show a hang.
                 if not server.ejected and self.overdue_share**server.overdue_streak < MAX_CHANCE:
                     self._eject(now, server, server.ejection, 1, "silence")
--- a/iristrack/limits/__init__.py
+++ b/iristrack/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What a pool server bears: deciders without I/O that the module under `policy` asks; time is an argument."""
+"""Limits per pool server: deciders without I/O that the `policy` module calls; time is an argument."""
--- a/iristrack/limits/cold_start.py
+++ b/iristrack/limits/cold_start.py
@@ -1,15 +1,17 @@
-"""How much one sidecar may send to a pool server that just started, so that all of them together do not push it over.
-
-This file owns the budget of one server at one sidecar, and the pace that a sidecar among many learns for all its cold
-servers. It must never pick, send or refuse, and it reads no clock: times are the host's nanoseconds, rates are
-requests a second.
-
-The bound needs nobody to hear anything of the others. Each sidecar sends at the floor (its own part of what the
-contract grants at this age) times its pace, plus `EARNED` times the rate of good answers that the server gave it
-since its start; a time in which it looks at no cold server at all earns no more than one window. The answers to all
-sidecars together are no more than the server can do now, as a cold server only gets faster. So all together send at
-most the floor times the pace, plus `EARNED` times what the server can do, plus a burst of one token each; and the
-pace stays where that is within the contract.
+"""Rate limit for sends to a pool server that has just started, safe for all sidecars together.
+
+This file owns the token budget of one cold server at one sidecar, and the rate factor that a sidecar among many learns
+from all its cold servers. It must never pick, send or refuse, and it reads no clock: times are the host's nanoseconds,
+rates are requests per second.
+
+The bound needs no communication between sidecars. Each sidecar sends to a cold server at
+
+    floor * rate factor + SENDS_PER_ANSWER * rate of good answers that the server gave it since its start
+
+where the floor is its share of what the contract grants at this age. A time in which it considers no cold server earns
+it one window at most. The answers to all sidecars together are no more than the server can do now, as a cold server
+only gets faster. So all sidecars together send at most floor * rate factor, plus SENDS_PER_ANSWER times what the server
+can do, plus a burst of one token each. The maximum of the rate factor keeps this within the contract.
 """
 
 from __future__ import annotations
@@ -19,37 +21,31 @@
 from iristrack.interface import Contract
 
 NS_PER_S = 1_000_000_000
-REFERENCE_OVERLOAD_FACTOR = (
-    4.0  # at a contract with this factor the floor is what it promises, at a lower one less
-)
-SENDS_PER_ANSWER = 1.25  # sends that an answer earns; less than the contract's factor less one
-ANSWER_MEMORY_NS = NS_PER_S  # answers count for about so long
-MIN_RATE_FACTOR = (
-    0.5  # a sidecar among many takes so much of the floor, at all cold servers, where none answers well
-)
-RATE_FACTOR_STEP = 1 / 3  # and takes so much more with each good answer of any of them,
-RATE_FACTOR_CUT = 0.5  # or is left with so much after a late one or none
-INFLIGHT_PER_RECENT_ANSWER = (
-    0.5  # requests of ours at a cold server, beside one, for each that it answered lately
-)
+REFERENCE_OVERLOAD_FACTOR = 4.0  # the floor is the contract's promise at this factor, and less at lower ones
+SENDS_PER_ANSWER = 1.25  # sends that a good answer earns; must be below the contract's factor minus one
+ANSWER_MEMORY_NS = NS_PER_S  # time constant of the recent good answers
+MIN_RATE_FACTOR = 0.5  # share of the floor that one of many sidecars sends if no cold server answers well
+RATE_FACTOR_STEP = 1 / 3  # increase per good answer of any cold server
+RATE_FACTOR_CUT = 0.5  # factor per late or missing answer of any cold server
+INFLIGHT_PER_RECENT_ANSWER = 0.5  # requests in flight at a cold server, beside one, per recent good answer
 
 
 def granted_share(age_ns: int, cold_share: float, cold_ns: int) -> float:
-    """The least share of its capacity that the contract promises of a server this old."""
+    """Return the minimum share of its capacity that the contract promises of a server of this age."""
     return cold_share + (1 - cold_share) * min(1.0, max(0, age_ns) / cold_ns)
 
 
 class ColdRateFactor:
-    """How much of the floor a sidecar may send to cold servers, learnt from the answers of all of them.
+    """Factor on the floor for sends to cold servers, learned from the answers of all of them.
 
-    Of many sidecars each meets one cold server so seldom that its answers come too late to earn it anything. But
-    those of all its cold servers tell how much such servers bear at this time.
+    One of many sidecars sends to a single cold server so seldom that its answers come too late to earn anything. The
+    answers of all its cold servers together show how much such servers can take at the time.
     """
 
     __slots__ = ("max_value", "min_value", "observed_at", "observed_ns", "value")
 
     def __init__(self, many: bool, contract: Contract) -> None:
-        """`many`: is this one of many sidecars? One of few goes by each server's own answers, at the floor."""
+        """`many`: one of many sidecars; one of few keeps the floor and uses each server's own answers."""
         overload_factor = contract.overload_factor
         self.value = 1.0
         self.observed_ns = self.observed_at = 0
@@ -59,17 +55,17 @@
         )
 
     def observe(self, now: int, window_ns: int) -> int:
-        """For how long (ns) this sidecar has looked at cold servers, any of them; a quiet time is one window at most.
+        """Return for how long (ns) this sidecar has considered cold servers; an idle time counts one window at most.
 
-        Guards against a quiet time of the whole fleet: else each would hold a whole token after it, at each cold
-        server, and all would spend it in one moment.
+        Otherwise each sidecar would hold a whole token at each cold server after an idle time of the whole fleet, and
+        all would spend them at the same moment.
         """
         self.observed_ns += min(max(0, now - self.observed_at), window_ns)
         self.observed_at = now
         return self.observed_ns
 
     def adjust(self, good: bool) -> None:
-        """A cold server answered well in time, or did not."""
+        """Adjust to a cold server's answer: well in time, or late or missing."""
         self.value = (
             min(self.max_value, self.value + RATE_FACTOR_STEP)
             if good
@@ -78,16 +74,16 @@
 
 
 class ColdBudget:
-    """One cold server's tokens at one sidecar: one is a send."""
+    """Tokens for sends from one sidecar to one cold server."""
 
     __slots__ = ("answers", "answers_at", "last_good", "refilled_at", "tokens")
 
     def __init__(self, tokens: float) -> None:
-        """A part of a `token`, at random: a whole one would let a thousand sidecars at a cold server at once."""
+        """`tokens` is a random part of one: whole ones would let a thousand sidecars send at the same moment."""
         self.tokens = tokens
-        self.last_good = True  # was its own last word a good one?
-        self.refilled_at = -1  # when they were last counted, by the pace's attention; -1: never
-        self.answers = 0.0  # good answers of this start, fading
+        self.last_good = True  # whether the server's last answer was in time
+        self.refilled_at = -1  # value of `ColdRateFactor.observe` at the last refill; -1: never
+        self.answers = 0.0  # recent good answers since the server's start, decaying
         self.answers_at = 0
 
     def _fade_answers(self, now: int) -> float:
@@ -97,22 +93,22 @@
         return self.answers
 
     def record_answer(self, now: int, good: bool = True) -> None:
-        """A request that was sent to it since this start was served; not `fine`: late, or not at all.
+        """Record the outcome of a request sent since the server's start; not `good`: late or not served.
 
-        After that it gets no more than the least, until it answers well: most that fall over are much slower than
-        their size tells.
+        After that the server gets the minimum rate until it answers well: most servers that collapse are much slower
+        than their size suggests.
         """
         self.last_good = good
         self.answers = self._fade_answers(now) + 1 if good else 0.0
 
     def at_inflight_limit(self, now: int, own_inflight: int) -> bool:
-        """Does it hold as many requests of ours, `own`, as its answers of late allow?"""
+        """Return whether our requests in flight reach what the recent good answers allow."""
         return own_inflight >= 1 + INFLIGHT_PER_RECENT_ANSWER * self._fade_answers(now)
 
     def allows(
         self, now: int, warm_rate: float, started_at: int, contract: Contract, factor: ColdRateFactor
     ) -> bool:
-        """May a request go there now? `warm_rate`: how many a second it would answer us when warm."""
+        """Refill and return whether a request may be sent; `warm_rate`: requests per second to us when warm."""
         share = granted_share(now - started_at, contract.cold_share, contract.cold_ns)
         floor = (
             warm_rate
@@ -129,5 +125,5 @@
         return self.tokens >= 1.0
 
     def spend(self) -> None:
-        """A request goes there."""
+        """Take the token of one send."""
         self.tokens -= 1.0
--- a/iristrack/limits/load_estimate.py
+++ b/iristrack/limits/load_estimate.py
@@ -1,7 +1,8 @@
-"""How many requests a pool server holds, whoever sent them, and whether it has room for one more.
+"""Estimate of all requests in flight at a pool server, and whether there is capacity for one more.
 
-This file owns the estimate of what other sidecars have in hand at a server, by the load reports in its answers, and
-the bound on the sum. It must never pick, send or refuse, and it reads no clock: times are the host's nanoseconds.
+This file owns the estimate of other sidecars' requests in flight at a server, taken from the load reports in its
+answers, and the bound on the sum. It must never pick, send or refuse, and it reads no clock: times are the host's
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -10,31 +11,28 @@
 from collections.abc import Mapping
 
 NS_PER_S = 1_000_000_000
-REPORT_VALID_NS = NS_PER_S  # a report's figure stands so long, refresh and delay included,
-REPORT_FADE_NS = NS_PER_S  # and is forgotten evenly over so much more
-REPORT_SPAN_NS = NS_PER_S * 7 // 10  # reports tell of about so long
-SMOOTHING_NS = (
-    NS_PER_S  # reports are noisy, and a heavy request shows in them all at once: they move it so slowly
-)
-SERVICE_RATE_MEMORY_NS = 10 * NS_PER_S  # the best pace that a server told of is forgotten over so long
-MAX_REPORTED = 1e4  # no server is taken to hold more, or to answer more a second, whatever it tells
-MIN_BOUND = 1.5  # the bound on what it holds is no lower: one request may always come to an idle server
-BOUND_CUT_PER_QUEUED = (
-    2.0  # and falls by so much for each request in the server's waiting room: its slots are all taken
-)
-MIN_PARALLEL_REQUESTS = 2.0  # so many requests at once, at the least, are taken to be worked on at full speed
-MAX_OTHERS_RATIO = 4.0  # times the bound: no more is believed to be in others' hands
-UNCROWDED_RATIO = 1.3  # answers that take less than so many times an uncrowded one's time let the bound grow,
-BOUND_GAIN = 0.05  # by so much of the difference an answer, slower ones let it shrink likewise,
-MAX_SLOWNESS = 8.0  # and none counts as slower than this
+REPORT_VALID_NS = NS_PER_S  # a report counts in full for this time, refresh interval and delay included
+REPORT_FADE_NS = NS_PER_S  # then its weight falls linearly to zero over this time
+REPORT_SPAN_NS = NS_PER_S * 7 // 10  # time that a report covers, about
+SMOOTHING_NS = NS_PER_S  # time constant: reports are noisy, and one heavy request shows in full at once
+SERVICE_RATE_MEMORY_NS = 10 * NS_PER_S  # time constant by which the highest reported service rate decays
+MAX_REPORTED = 1e4  # bounds reported requests in flight and requests per second, for false reports
+MIN_BOUND = 1.5  # lower limit of the bound: an idle server may always get one request
+BOUND_CUT_PER_QUEUED = 2.0  # cut of the bound per request in the server's queue, as its slots are all busy
+MIN_PARALLEL_REQUESTS = 2.0  # requests that any server is assumed to process at once at full speed
+MAX_OTHERS_RATIO = 4.0  # the estimate of others' requests is at most this multiple of the bound
+UNCROWDED_RATIO = 1.3  # the bound grows on answers below this multiple of the uncrowded latency, else shrinks
+BOUND_GAIN = 0.05  # change of the bound per answer, as a factor on the difference to UNCROWDED_RATIO
+MAX_SLOWNESS = 8.0  # upper limit of the slowness that one answer counts
 
 
 def parse_report(report: Mapping[str, float] | None) -> tuple[float, float] | None:
-    """Requests that a server holds, and how many a second it could answer; None where the report cannot tell.
+    """Return a server's requests in flight and the requests per second it could answer; None for a useless report.
 
-    `report` has `qps` (requests a second), `latency_ms` (service time without waiting) and `queue` (requests
-    waiting). What it holds follows by Little's law. What it could answer is what it answers, or more where it works
-    on fewer than it could: a missing figure, one that is no finite number or below zero makes the report useless.
+    `report` has `qps` (requests per second), `latency_ms` (service time without waiting) and `queue` (requests
+    waiting). The requests in flight follow from Little's law. The possible rate is the reported one, or more if the
+    server works on fewer requests than it could. A value that is missing, not finite or negative makes a report
+    useless.
     """
     if not report:
         return None
@@ -49,7 +47,7 @@
 
 
 class LoadEstimate:
-    """The crowd at one server since its last start, as one sidecar sees it."""
+    """Load at one server since its last start, as one sidecar estimates it."""
 
     __slots__ = (
         "max_bound",
@@ -64,21 +62,21 @@
     )
 
     def __init__(self, min_bound: float, wait_ns: float) -> None:
-        """`least` requests in hand, of all sidecars together, are borne if they are answered within `wait_ns`."""
+        """Allow `min_bound` requests in flight of all sidecars, if they are answered within `wait_ns`."""
         self.min_bound = self.max_bound = min_bound
         self.max_wait_s = wait_ns / NS_PER_S
-        self.others_inflight = 0.0  # what others have in hand there, as last told
-        self.queue = 0.0  # requests that wait there
-        self.service_rate = 0.0  # requests a second that it could answer
-        self.reported_at: int | None = None  # when it was last told; None: never
-        self.own_busy_s = 0.0  # request seconds of ours that ended there, fading
+        self.others_inflight = 0.0  # other sidecars' requests in flight, at the last report
+        self.queue = 0.0  # requests in the server's queue
+        self.service_rate = 0.0  # requests per second that it could answer
+        self.reported_at: int | None = None  # time of the last report; None: never
+        self.own_busy_s = 0.0  # summed latency of our recent requests there, decaying
         self.own_busy_at = 0
 
     def record_report(self, now: int, report: Mapping[str, float] | None, latency_ns: int) -> bool:
-        """Take the report in an answer of `now` to a request of ours that took so long; false if it tells nothing.
+        """Record the load report in an answer that took `latency_ns`; return False if the report is useless.
 
-        Our own part is reckoned as the server reckons the whole: by what ended there lately. What we have in hand
-        now would not do, since the report tells of half a second ago.
+        Our own share is computed as the server computes the sum, from the requests that ended there recently. Our
+        present requests in flight would not fit, since the report describes the load half a second ago.
         """
         self.own_busy_s *= math.exp((self.own_busy_at - now) / REPORT_SPAN_NS)
         self.own_busy_s += latency_ns / NS_PER_S
@@ -87,7 +85,7 @@
         if parsed is None:
             return False
         inflight, service_rate = parsed
-        # A lie must be forgotten as soon as a truth: no more is believed than leaves no room anyway.
+        # The cap lets a false report expire as fast as a true one: at the cap the server is full anyway.
         step, others = (
             1.0,
             min(
@@ -95,13 +93,10 @@
                 max(0.0, inflight - self.own_busy_s * NS_PER_S / REPORT_SPAN_NS),
             ),
         )
-        if (
-            self.reported_at is not None
-        ):  # many answers bring the same report: what moves the estimate is time
+        if self.reported_at is not None:  # weighted by time, as many answers carry the same report
             step = 1 - math.exp((self.reported_at - now) / SMOOTHING_NS)
-            self.service_rate *= math.exp(
-                (self.reported_at - now) / SERVICE_RATE_MEMORY_NS
-            )  # heavy work makes good figures bad for a moment
+            # Heavy requests lower a good service rate for a moment, so the highest one decays slowly.
+            self.service_rate *= math.exp((self.reported_at - now) / SERVICE_RATE_MEMORY_NS)
         self.others_inflight = self.others_inflight_at(now) * (1 - step) + others * step
         self.queue += (min(report["queue"], self.max_bound) - self.queue) * step
         self.service_rate = max(self.service_rate, service_rate)
@@ -109,7 +104,7 @@
         return True
 
     def others_inflight_at(self, now: int) -> float:
-        """What others are taken to have in hand there at `now`."""
+        """Return the estimate of other sidecars' requests in flight at `now`."""
         if self.reported_at is None:
             return 0.0
         expired_ns = now - self.reported_at - REPORT_VALID_NS
@@ -117,14 +112,14 @@
 
     @property
     def bound(self) -> float:
-        """What it may hold: what it answers in time and no more than `most`, less as its waiting room fills."""
+        """Requests that may be in flight: those answered in time, at most `max_bound`, less for its queue."""
         return max(
             MIN_BOUND,
             min(self.max_bound, self.service_rate * self.max_wait_s) - BOUND_CUT_PER_QUEUED * self.queue,
         )
 
     def full(self, now: int, own_inflight: int) -> bool:
-        """Has it no room for another of ours, beside `own`? One is always let in, and all where nothing is heard."""
+        """Return whether our next request must wait; never without own requests or without recent reports."""
         if (
             self.reported_at is None
             or own_inflight < 1
@@ -134,7 +129,7 @@
         return own_inflight + self.others_inflight_at(now) >= self.bound
 
     def record_answer(self, now: int, slowness: float, own_inflight: int) -> None:
-        """An answer took `slowness` times an uncrowded one's time: a bound that was reached follows it."""
+        """Adjust `max_bound`, if it is reached, to an answer of `slowness` times the uncrowded latency."""
         if self.reported_at is not None and own_inflight + self.others_inflight_at(now) >= self.max_bound - 1:
             self.max_bound = max(
                 self.min_bound, self.max_bound + BOUND_GAIN * (UNCROWDED_RATIO - min(slowness, MAX_SLOWNESS))
--- a/iristrack/records.py
+++ b/iristrack/records.py
@@ -1,6 +1,6 @@
-"""What the decision module keeps of a request and its attempts, and its hashing: data, no decision.
+"""Records of servers, classes, requests and attempts that the balancer works on.
 
-This file owns these records' forms. It must never choose, count or time anything.
+This file defines the data only. It must never choose, count or time anything.
 """
 
 from __future__ import annotations
@@ -13,76 +13,68 @@
 from iristrack.limits.load_estimate import LoadEstimate
 from iristrack.placement.ranking import hash64
 
-INITIAL_BACKOFF_NS = mi.NS_PER_S // 2  # of an ejection
-IN_FLIGHT, MAYBE_RAN, BROKE, DID_NOT_RUN = range(4)  # who broke may have run as well
+INITIAL_BACKOFF_NS = mi.NS_PER_S // 2  # first backoff of an ejection
+IN_FLIGHT, MAYBE_RAN, BROKE, DID_NOT_RUN = range(4)  # states of an attempt; BROKE may have run as well
 
 
 class EjectionState:
-    """What is held against a server, or against it for one class: may it get requests, or only trials?"""
+    """Ejection of a server, a zone or one class at a server; an ejected one gets trials only."""
 
     __slots__ = ("backoff_ns", "ejected", "errors", "trial_at", "trials_needed")
 
     def __init__(self) -> None:
-        """Nothing is."""
+        """Start without errors, not ejected."""
         self.ejected = False
-        self.errors = 0.0  # recent ones
+        self.errors = 0.0  # recent errors, decaying
         self.trials_needed = self.trial_at = 0
         self.backoff_ns = INITIAL_BACKOFF_NS
 
 
 class ClassRecord:
-    """What was learned of a class: latencies in ns, shares, and its attempts out."""
+    """Learned latencies (ns) and shares of a request class, and its attempts in flight."""
 
     __slots__ = (
-        "base",
-        "dev",
-        "faulty",
-        "low",
-        "mean",
-        "outstanding",
-        "spec",
-        "window_count",
-        "window_min",
-        "window_sum",
-    )
+        "base", "dev", "faulty", "low", "mean", "outstanding", "spec", "window_count", "window_min", "window_sum",
+    )  # fmt: skip
 
     def __init__(self, spec: mi.RequestClass, target: float, faulty: float) -> None:
-        """Nothing is learned: `target` is the share of the aim that an answer is taken to need."""
+        """`target` is the initial latency as a share of the aim, `faulty` the initial share of errors."""
         self.spec = spec
-        self.mean = spec.aim_ns * target  # mean latency of good answers, and its mean deviation
-        self.dev = spec.aim_ns * target / 4
-        self.base = float(spec.aim_ns)  # mean latency when uncrowded: the lowest window's, slowly forgotten
-        self.low = spec.aim_ns  # the fastest answer: what no crowd changes, such as waits on others
-        self.window_min = spec.aim_ns  # and that of this window
-        self.faulty = faulty  # the share of attempts that end as errors at servers in use
+        self.mean = spec.aim_ns * target  # mean latency of good answers
+        self.dev = spec.aim_ns * target / 4  # mean deviation of that latency
+        self.base = float(spec.aim_ns)  # uncrowded mean latency: the lowest window mean, expiring slowly
+        self.low = spec.aim_ns  # fastest answer: the part unaffected by load, such as calls to backends
+        self.window_min = spec.aim_ns  # fastest answer of the current window
+        self.faulty = faulty  # share of attempts that end as errors at servers in use
         self.window_count = self.window_sum = 0
         self.outstanding: deque = deque()  # (request, attempt), oldest first
 
 
 class Server:
-    """A pool server as the module knows it: counts, what is held against it, what it bears."""
+    """A pool server: requests in flight, ejections, limits and budgets."""
 
     __slots__ = (
-        "budget", "cell", "class_ejections", "ejection", "failed_connects", "hash", "id", "inflight", "last_ok", "limiter",
-        "load_estimate", "overdue_streak", "ready", "started", "unreachable", "warm_at", "weight", "zone", "zone_state",
+        "budget", "cell", "class_ejections", "ejection", "failed_connects", "hash", "id", "inflight", "last_ok",
+        "limiter", "load_estimate", "overdue_streak", "ready", "started", "unreachable", "warm_at", "weight", "zone",
+        "zone_state",
     )  # fmt: skip
 
     def __init__(self, entry: mi.ServerEntry, limiter: Any) -> None:
-        """`room` is its own, or the one for all servers."""
+        """`limiter` belongs to this server or is shared by all servers."""
         self.id = entry.server
         self.hash = hash64(entry.server)
         self.limiter = limiter
         self.ready = False
-        self.inflight = 0  # our attempts out, and failed ones that still count
-        self.started = -1  # forget() follows, as each entry tells of another start
+        self.inflight = 0  # our attempts in flight, and failed ones that still count
+        self.started = -1  # differs from any entry's value, so that reset() follows
 
     def add_inflight(self, count: int, counted: bool = True) -> None:
-        """So many more of our attempts are out there."""
+        """Add to the attempts in flight, and to the limiter's if `counted`."""
         self.inflight += count
         self.limiter.inflight += count * counted
 
     def reset(self, tokens: float, load_bound: float, wait_ns: float) -> None:
-        """Start afresh, as for a process that just started."""
+        """Reset to the state of a server process that has just started."""
         if self.limiter.servers == 1:
             self.limiter.limit, self.limiter.rest_until = self.limiter.initial_limit, 0
         self.unreachable = False
@@ -94,11 +86,11 @@
 
     @property
     def ejected(self) -> bool:
-        """Is it, or its whole zone, out of use but for trials?"""
+        """Whether the server or its zone is ejected, so that it gets trials only."""
         return self.ejection.ejected or self.zone_state.ejection.ejected
 
     def ejections(self, name: str) -> list[EjectionState]:
-        """What keeps requests of this class from it, but for trials."""
+        """Return the active ejections that apply to a class at this server."""
         zone_ejection = self.zone_state.ejection
         if not (self.ejection.ejected or self.class_ejections or zone_ejection.ejected):
             return []
@@ -110,12 +102,12 @@
 
 
 class Attempt:
-    """One attempt: at which server, since when, and how it stands."""
+    """One attempt of a request: server, time of sending and state."""
 
     __slots__ = ("counted", "overdue", "sent_at", "server", "state")
 
     def __init__(self, server: Any, sent_at: int, counted: bool) -> None:
-        """It is out; `in_room`: does it take of what the sidecar may have in flight?"""
+        """Start in flight; `counted` tells whether it counts against the limiter."""
         self.counted = counted
         self.server = server
         self.sent_at = sent_at
@@ -124,34 +116,35 @@
 
 
 class OpenRequest:
-    """A request that this balancer still owes an answer, or that still has attempts out."""
+    """A request without a final answer yet, or with an attempt in flight."""
 
     __slots__ = (
-        "attempts", "cls", "decide_by", "done", "event", "first_asked_at", "key_part", "streaming", "useful_until", "value",
+        "attempts", "cls", "decide_by", "done", "event", "first_asked_at", "key_part", "streaming", "useful_until",
+        "value",
     )  # fmt: skip
 
     def __init__(
         self, event: mi.Request, cls: Any, first_asked_at: int, useful_until: int, value: float
     ) -> None:
-        """Nothing is sent yet."""
+        """Start without attempts."""
         self.event = event
         self.cls = cls
-        self.first_asked_at = first_asked_at  # when the client first asked, if this is its retry
+        self.first_asked_at = first_asked_at  # time of the client's first try, if this is its retry
         self.useful_until = useful_until
-        self.decide_by = event.give_up_ns  # held and never sent until then, it is given up
-        self.value = value  # expected worth for the work, to compare with other requests
-        self.key_part = 0  # of its key
+        self.decide_by = event.give_up_ns  # a queued request that was never sent is rejected then
+        self.value = value  # expected worth per unit of work, to rank queued requests
+        self.key_part = 0  # part of a hot key that was split
         self.attempts: list[Attempt] = []
         self.done = self.streaming = False
 
     @property
     def in_flight(self) -> bool:
-        """Is an attempt out? One at most is: the next is sent when the last has ended."""
+        """Whether an attempt is in flight. At most one is: the next is sent when the last has ended."""
         return bool(self.attempts) and self.attempts[-1].state == IN_FLIGHT
 
 
 def export_server(server: Any, now: int) -> dict:
-    """What `recall` needs of a server, as plain values; a limit is told in first guesses, times as what is left."""
+    """Return a server's state for a snapshot: the limit relative to its initial value, times as time left."""
     suspicions = {
         name: [s.ejected, s.errors, s.trials_needed, max(0, s.trial_at - now), s.backoff_ns]
         for name, s in ({"": server.ejection} | server.class_ejections).items()
@@ -168,7 +161,7 @@
 
 
 def restore_server(server: Any, now: int, known: dict, min_limit: float) -> None:
-    """Put back what `learned_of` told of a server."""
+    """Restore a server's state from what `export_server` returned."""
     if server.limiter.servers == 1:
         server.limiter.limit = max(min_limit, server.limiter.initial_limit * known["limit"])
     server.unreachable, server.overdue_streak = known["down"], known["silent"]
--- a/iristrack/zones/__init__.py
+++ b/iristrack/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Whole zones that fall silent: deciders without I/O that the module under `policy` asks; time is an argument."""
+"""Outages of whole zones: deciders without I/O that the `policy` module calls; time is an argument."""
--- a/iristrack/zones/outage.py
+++ b/iristrack/zones/outage.py
@@ -1,49 +1,53 @@
-"""Has a whole zone fallen silent for this sidecar? Found out alone, from its own attempts.
+"""Detection of the outage of a whole zone by one sidecar, from its own attempts alone.
 
-This file owns the evidence on zones and the one hold on each. It must never pick, send or refuse, and reads no clock:
-times are the host's nanoseconds.
+This file owns the evidence on zones and the ejection of each. It must never pick, send or refuse, and it reads no
+clock: times are the host's nanoseconds.
 
-A sidecar that is cut off from a zone meets each of its servers so seldom that it finds them out one by one, with three
-or four lost requests each. Together those requests tell at once: where several overdue attempts at different servers of
-a zone follow each other and nobody in it has answered since the first was sent_at, while another zone did, it is the zone
-or the way there. One bad server is told apart by the others of its zone, which answer; a sidecar whose own link is cut
-hears nobody, and holds nothing.
+A sidecar that is cut off from a zone sends to each of its servers so seldom that it would eject them one by one, with
+three or four lost requests each. Taken together, those requests show the outage at once: the zone, or the network path
+to it, is down if
+
+- attempts at several different servers of the zone are overdue in a row,
+- no server of the zone has answered since the first of them was sent,
+- and a server of another zone has.
+
+A single bad server does not look like this, since the other servers of its zone answer. A sidecar whose own network
+link is down gets no answers at all and ejects no zone.
 """
 
 from __future__ import annotations
 
 from iristrack.records import EjectionState
 
-MAX_ZONES = 64  # names come from outside; what lies behind is never held
-MIN_SILENT_SERVERS = 3  # servers of a zone that are silent in a row, at the least, before it is held
-MAX_CHANCE = 0.001  # a row this unlikely in a sound zone holds it
-MIN_OVERDUE_SHARE = 0.02  # the share of overdue attempts is taken to be no lower
+MAX_ZONES = 64  # bounds memory, as discovery chooses the names; further zones are never ejected
+MIN_SILENT_SERVERS = 3  # silent servers in a row that it takes to eject a zone
+MAX_CHANCE = 0.001  # a zone is ejected if a healthy one has such a row with less probability
+MIN_OVERDUE_SHARE = 0.02  # lower bound of the estimated share of overdue attempts
 
 
 class ZoneState:
-    """What is known of one zone: its hold (`suspicion`), the row of silent servers, and when it was last heard."""
+    """State of one zone: its ejection, its silent servers and its last answer."""
 
     __slots__ = ("ejection", "last_ok", "overdue_share", "silent_servers")
 
     def __init__(self) -> None:
-        """Nothing is known, nothing is held."""
+        """Start without evidence, not ejected."""
         self.ejection = EjectionState()
-        self.silent_servers: set[str] = (
-            set()
-        )  # silent ones since it was last heard; FEWEST_SILENT and a few more at most
+        # Servers with overdue attempts since the zone's last answer: MIN_SILENT_SERVERS and a few more at most.
+        self.silent_servers: set[str] = set()
         self.last_ok = 0
-        self.overdue_share = MIN_OVERDUE_SHARE  # share of attempts that were overdue or never answered
+        self.overdue_share = MIN_OVERDUE_SHARE  # share of attempts that were overdue or had no answer
 
 
 class ZoneOutages:
     """All zones as one sidecar sees them."""
 
     def __init__(self) -> None:
-        """None is known yet."""
+        """Start without zones."""
         self.states: dict[str, ZoneState] = {}
 
     def state_of(self, name: str) -> ZoneState:
-        """The zone's record, the same one for all its servers."""
+        """Return the state of a zone, the same object for all its servers."""
         state = self.states.get(name)
         if state is None:
             state = ZoneState()
@@ -52,14 +56,14 @@
         return state
 
     def record_answer(self, now: int, zone: ZoneState) -> None:
-        """A server of the zone answered."""
+        """Record that a server of the zone answered."""
         zone.last_ok = now
         if zone.silent_servers:
             zone.silent_servers.clear()
         zone.overdue_share += (MIN_OVERDUE_SHARE - zone.overdue_share) / 64
 
     def record_overdue(self, server: str, sent_at: int, zone: ZoneState) -> bool:
-        """An attempt that went to a server of the zone at `sent_at` is overdue. Is all of the zone to be held now?"""
+        """Record an overdue attempt at a server of the zone; return whether the zone is to be ejected now."""
         zone.overdue_share += (1 - zone.overdue_share) / 64
         if zone.ejection.ejected or zone.last_ok >= sent_at:
             return False
