--- a/iristrack/interface.py
+++ b/iristrack/interface.py
@@ -1,6 +1,6 @@
-"""The words that a host and the decision module share: settings, events, actions and their enums.
+"""Interface between a host and the balancer: settings, events, actions and their enums.
 
-All times are integer nanoseconds on the host's own clock. Nothing here decides anything.
+All times are integer nanoseconds on the host's own clock. Nothing here makes a decision.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 class Outcome(Enum):
     """How an attempt or a probe ended."""
 
-    __hash__ = object.__hash__  # members are single: Enum's own hash is a call in Python
+    __hash__ = object.__hash__  # members are singletons, and Enum's own hash is a slow Python call
 
     OK = "ok"
-    ERROR = "error"  # the server answered with an error; it may have run
-    REJECTED = "rejected"  # turned away unseen by the server
-    TIMEOUT = "timeout"  # no answer in time; it may still run
+    ERROR = "error"  # the server answered with an error; the request may have run
+    REJECTED = "rejected"  # the server rejected it without processing it
+    TIMEOUT = "timeout"  # no answer in time; the request may still run
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"  # the connection broke while it was out
+    RESET = "reset"  # the connection broke while the attempt was in flight
     CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"  # never left the host
+    NOT_SENT = "not_sent"  # nothing was sent
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-"""The outcomes that prove that an attempt did not run on any server."""
+"""Outcomes that prove that an attempt did not run on any server."""
 
 
 class Repeat(Enum):
     """Whether a request of a class may run more than once."""
 
     SAFE = "safe"
-    KEYED = "keyed"  # a group of servers discards its repeats for a while
+    KEYED = "keyed"  # a group of servers discards repeats for a while, by the idempotency key
     UNSAFE = "unsafe"
 
 
@@ -48,7 +48,7 @@
 
 
 class ServerState(Enum):
-    """What discovery says of a server."""
+    """State of a server in discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -56,17 +56,17 @@
 
 
 class ListKind(Enum):
-    """What a server list event carries."""
+    """Content of a server list event."""
 
     DELTA = "delta"
     FULL = "full"
-    CACHED = "cached"  # complete, as last seen, perhaps stale
-    FAILED = "failed"  # a call to discovery failed; the old list still holds
+    CACHED = "cached"  # complete, but from a cache and perhaps stale
+    FAILED = "failed"  # a call to discovery failed; the previous list stays valid
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One kind of request: what it is worth and how it may be repeated."""
+    """A class of requests: its latency aim, its worth and how it may be repeated."""
 
     name: str
     aim_ns: int
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer of the service: its share of it and the rate that share comes to."""
+    """A customer of the service: its share of the capacity and that share as a rate."""
 
     name: str
     share: float = 0.0
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the host lets the module do."""
+    """Limits of what the host allows the balancer to do."""
 
     max_attempts: int = 3
     max_open: int = 1 << 30
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The figures behind the four rules."""
+    """Parameters of the four rules."""
 
     answer_slack_ns: int = 0
     drain_grace_ns: int = 0
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What is taken off the result for each unit."""
+    """Deduction from the result per unit."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at its start."""
+    """Settings of a balancer, fixed at its start."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -143,49 +143,49 @@
     balancers: int = 1
     zone: str = ""
     ask_for_list: bool = False
-    sized_weights: bool = False  # a server's weight tells its size
+    sized_weights: bool = False  # a server's weight gives its size
     report_fields: tuple[str, ...] = ()
     over_share_worth: float = 1.0
     resolution_ns: int = NS_PER_MS
     marks_retries: bool = False
 
     def __post_init__(self) -> None:
-        """Refuse settings that contradict themselves."""
+        """Raise ValueError for settings out of range."""
 
-        def need(holds: bool, name: str) -> None:
-            if not holds:
+        def require(valid: bool, name: str) -> None:
+            if not valid:
                 raise ValueError(f"setting {name} is out of range")
 
-        need(len({c.name for c in self.classes}) == len(self.classes), "classes.name")
+        require(len({c.name for c in self.classes}) == len(self.classes), "classes.name")
         for c in self.classes:
-            need(c.aim_ns > 0, "classes.aim_ns")
-            need(c.deadline_ns >= c.aim_ns, "classes.deadline_ns")
-            need(c.worth >= 0, "classes.worth")
-            need(0 <= c.late_share <= 1, "classes.late_share")
-            need(c.memory_ns >= 0, "classes.memory_ns")
-        need(0 < self.contract.cold_share <= 1, "contract.cold_share")
-        need(self.contract.cold_ns >= 0, "contract.cold_ns")
-        need(self.contract.overload_factor > 0, "contract.overload_factor")
-        need(self.limits.max_attempts >= 1, "limits.max_attempts")
-        need(self.balancers >= 1, "balancers")
-        need(self.resolution_ns > 0, "resolution_ns")
+            require(c.aim_ns > 0, "classes.aim_ns")
+            require(c.deadline_ns >= c.aim_ns, "classes.deadline_ns")
+            require(c.worth >= 0, "classes.worth")
+            require(0 <= c.late_share <= 1, "classes.late_share")
+            require(c.memory_ns >= 0, "classes.memory_ns")
+        require(0 < self.contract.cold_share <= 1, "contract.cold_share")
+        require(self.contract.cold_ns >= 0, "contract.cold_ns")
+        require(self.contract.overload_factor > 0, "contract.overload_factor")
+        require(self.limits.max_attempts >= 1, "limits.max_attempts")
+        require(self.balancers >= 1, "balancers")
+        require(self.resolution_ns > 0, "resolution_ns")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of a server list."""
+    """One entry of a server list."""
 
     server: str
     state: ServerState = ServerState.READY
     zone: str = ""
     cell: int = -1
     weight: float = 1.0
-    started_ns: int = 0  # 0: long ago
+    started_ns: int = 0  # 0: unknown, long ago
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """Event: what discovery says."""
+    """Event: a server list, or a part of one, from discovery."""
 
     kind: ListKind
     servers: tuple[ServerEntry, ...] = ()
@@ -194,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Event: a client request; it is owed exactly one final answer before `give_up_ns`."""
+    """Event: a client request, which must get exactly one final answer before `give_up_ns`."""
 
     id: str
     request_class: str
@@ -204,12 +204,12 @@
     work_hint_ns: int = 0
     retry: bool = False
     write: bool = False
-    long: bool = False  # its body is passed on while it comes; `AttemptWritten` follows
+    long: bool = False  # the body is relayed as it arrives; `AttemptWritten` follows
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptWritten:
-    """Event: the last byte of a long request is out now; its work and the client's patience begin here."""
+    """Event: the last byte of a long request was sent; its work and the client's timeout start here."""
 
     id: str
     attempt: int
@@ -218,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """Event: an answer that is passed on while it comes has begun; the attempt is the client's from now on."""
+    """Event: an answer that is relayed as it arrives has begun, so that no other attempt can follow."""
 
     id: str
     attempt: int
@@ -228,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Event: an attempt ended; `final` tells that the request is over."""
+    """Event: an attempt ended; `final`: the request has its final answer."""
 
     id: str
     attempt: int
@@ -237,19 +237,19 @@
     final: bool = False
     latency_ns: int = 0
     report: dict[str, float] | None = None
-    kept: bool = True  # can the host send the request again?
+    kept: bool = True  # whether the host can send the request again
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """Event: the client left; nothing is owed any more."""
+    """Event: the client left and no answer is needed any more."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """Event: a timer set with `SetTimer` came due."""
+    """Event: a timer set with `SetTimer` expired."""
 
     token: int
 
@@ -266,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Event: another balancer sent some bytes."""
+    """Event: another balancer sent a message."""
 
     sender: int
     data: bytes = b""
@@ -287,17 +287,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Action: start an attempt; attempts of a request count up from 0."""
+    """Action: start an attempt; the attempts of a request are numbered from 0."""
 
     id: str
     server: str
     timeout_ns: int = 0  # 0: until the client gives up
-    begin_by_ns: int = 0  # from this clock time on its first byte must not go out any more; 0: no such time
+    begin_by_ns: int = 0  # its first byte must be sent before this time; 0: no bound
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Action: final answer; tells the client that a retry does no harm."""
+    """Action: final answer that tells the client that a retry is safe."""
 
     id: str
     retry_after_ns: int = 0
@@ -305,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Action: final answer; promises nothing about the effect."""
+    """Action: final answer that leaves open whether the request took effect."""
 
     id: str
 
@@ -320,7 +320,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Action: ask for a `TimerFired` after a delay."""
+    """Action: request a `TimerFired` event after a delay."""
 
     token: int
     delay_ns: int
@@ -342,7 +342,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSend:
-    """Action: send bytes to one peer, or to all where `peer` is None."""
+    """Action: send a message to one peer, or to all if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -350,19 +350,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Action: have list changes pushed from now on."""
+    """Action: subscribe to changes of the server list."""
 
     wanted: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Action: ask for the complete list once."""
+    """Action: fetch the complete server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Action: one plain line for the on-call staff."""
+    """Action: log one line for the operators."""
 
     text: str
 
--- a/iristrack/result.py
+++ b/iristrack/result.py
@@ -1,7 +1,7 @@
-"""The result of reading something that may be wrong: a value, or what is wrong with it.
+"""Result type of functions that validate input: a value, or an error.
 
-It has the names of the library `expression`, which costs each process 0.1 s of processor time at its start and 8 MB
-(`docs/performance.md`), and holds just what this project uses of it.
+The names are those of the library `expression`, of which this module has what the project uses. The library itself
+costs each process 0.1 s of processor time at its start and 8 MB (`docs/performance.md`).
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from typing import Generic, Never, TypeAlias, TypeVar
 
 Value = TypeVar("Value")
-Fault = TypeVar("Fault")
+Failure = TypeVar("Failure")
 
 
 @dataclass(frozen=True, slots=True)
 class Ok(Generic[Value]):
-    """It could be read."""
+    """A successful result."""
 
     ok: Value
 
@@ -29,15 +29,15 @@
 
     @property
     def error(self) -> Never:
-        """Raise `ValueError`: nothing is wrong."""
-        raise ValueError("a value, and no error")
+        """Raise `ValueError`, as there is no error."""
+        raise ValueError("result is a value, not an error")
 
 
 @dataclass(frozen=True, slots=True)
-class Error(Generic[Fault]):
-    """It could not be read, for this."""
+class Error(Generic[Failure]):
+    """A failed result."""
 
-    error: Fault
+    error: Failure
 
     def is_ok(self) -> bool:
         """Return False."""
@@ -49,8 +49,8 @@
 
     @property
     def ok(self) -> Never:
-        """Raise `ValueError`: there is no value."""
-        raise ValueError(f"no value, but the error {self.error!r}")
+        """Raise `ValueError`, as there is no value."""
+        raise ValueError(f"result is no value, but the error {self.error!r}")
 
 
-Result: TypeAlias = Ok[Value] | Error[Fault]
+Result: TypeAlias = Ok[Value] | Error[Failure]
