--- a/iristrack/config.py
+++ b/iristrack/config.py
@@ -1,7 +1,7 @@
-"""What a sidecar is told: environment and JSON to `Settings` and the addresses it uses.
+"""Configuration of a sidecar: reads the environment and a JSON file into `Settings` and addresses.
 
-This file owns the reading of settings, for the real sidecar and the adapter alike. It must never
-open a socket or decide anything: a configuration that cannot be read raises one plain `ConfigError`.
+The sidecar and the simulator's adapter both read their settings with this module. It must never open a socket or
+make a decision. A configuration that cannot be read raises a `ConfigError` with a text of one line.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 
 class FieldError(ValueError):
-    """A line or a setting that cannot be read."""
+    """A line or a setting that cannot be parsed."""
 
 
 def read_bool(text: str | None) -> bool:
-    """Read a yes or no."""
+    """Parse a truth value; anything but `1` and `true` is false."""
     return text in ("1", "true")
 
 
 def read_int(fields: Fields, name: str, default: int | None = None) -> int:
-    """Read a whole number."""
+    """Return a field as an integer; raise `FieldError` if it is missing without a default, or malformed."""
     text = fields.get(name)
     if text is None:
         if default is None:
@@ -50,7 +50,7 @@
 
 
 def read_float(fields: Fields, name: str, default: float) -> float:
-    """Read a number."""
+    """Return a field as a number; raise `FieldError` if it is malformed."""
     text = fields.get(name)
     if not text:
         return default
@@ -61,30 +61,30 @@
 
 
 def read_text(fields: Fields, name: str) -> str:
-    """Read a text."""
+    """Return a field as text; raise `FieldError` if it is missing."""
     try:
         return fields[name]
     except KeyError:
         raise FieldError(f"field {name} is missing") from None
 
 
-def _class(options: Fields, at: str) -> mi.RequestClass:
+def _class(options: Fields, prefix: str) -> mi.RequestClass:
     return mi.RequestClass(
-        name=read_text(options, at + "name"),
-        aim_ns=read_int(options, at + "promise_ns"),
-        deadline_ns=read_int(options, at + "deadline_ns"),
-        worth=read_float(options, at + "worth", 1.0),
-        late_share=read_float(options, at + "late_share", 0.0),
-        aim_stretch=read_float(options, at + "aim_stretch", 0.0),
-        repeat=_REPEATS.get(options.get(at + "repeat", ""), mi.Repeat.UNSAFE),
-        group=mi.Group(options.get(at + "group") or "all"),
-        memory_ns=read_int(options, at + "memory_span_ns", 0),
-        stream=read_bool(options.get(at + "stream")),
+        name=read_text(options, prefix + "name"),
+        aim_ns=read_int(options, prefix + "promise_ns"),
+        deadline_ns=read_int(options, prefix + "deadline_ns"),
+        worth=read_float(options, prefix + "worth", 1.0),
+        late_share=read_float(options, prefix + "late_share", 0.0),
+        aim_stretch=read_float(options, prefix + "aim_stretch", 0.0),
+        repeat=_REPEATS.get(options.get(prefix + "repeat", ""), mi.Repeat.UNSAFE),
+        group=mi.Group(options.get(prefix + "group") or "all"),
+        memory_ns=read_int(options, prefix + "memory_span_ns", 0),
+        stream=read_bool(options.get(prefix + "stream")),
     )
 
 
 def read_settings(options: Fields) -> mi.Settings:
-    """Translate the start message's settings; what is unknown is skipped, what is absent gets its default."""
+    """Build settings from path=value pairs; unknown paths are ignored, missing ones get their default."""
     o = options
     return mi.Settings(
         classes=tuple(_class(o, f"classes.{i}.") for i in range(read_int(o, "classes.count", 0))),
@@ -137,33 +137,33 @@
     )
 
 
-# ---- the real sidecar's configuration
+# ---- configuration of the sidecar
 
 Address = tuple[str, int]
 
 
 class ConfigError(Exception):
-    """A configuration that no sidecar can start with; the text is one line."""
+    """A configuration that cannot be used; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one sidecar is told at its start."""
+    """Configuration of one sidecar at its start."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     settings: mi.Settings
-    known: dict  # in discovery's form
+    known: dict  # servers known at the start, in discovery's format
     sockets: int = 1024
     memory_mb: int = 0
-    state: str = ""  # the folder for what is learned; empty: nothing is kept
-    admin: Address | None = None  # the operators' door; None: there is none
+    state: str = ""  # folder for snapshots; empty: none are stored
+    admin: Address | None = None  # address of the operators' port; None: no such port
 
 
 def read_address(text: str) -> Address:
-    """`host:port`, the host in brackets if it is IPv6."""
+    """Parse `host:port`, with an IPv6 host in brackets."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) <= 65535:
         raise ValueError(f"{text!r} is no host:port")
@@ -171,28 +171,28 @@
 
 
 def _admin(text: object) -> Address | None:
-    """Where the operators' door is; the fault names both places that may have told it."""
+    """Return the address of the operators' port; an error names both sources of that address."""
     try:
         return read_address(str(text)) if text else None
-    except ValueError as fault:
-        raise ValueError(f"admin_addr, or NODE_ADMIN_ADDR: {fault}") from None
+    except ValueError as error:
+        raise ValueError(f"admin_addr, or NODE_ADMIN_ADDR: {error}") from None
 
 
-def flatten(value: object, at: str = "") -> Fields:
-    """Nested JSON as the simulator's path=value pairs, so that one reader serves both."""
+def flatten(value: object, path: str = "") -> Fields:
+    """Convert nested JSON to path=value pairs as the simulator sends them, for one common reader."""
     if isinstance(value, Mapping):
         pairs: Fields = {}
         for name, item in value.items():
-            pairs |= flatten(item, f"{at}.{name}" if at else str(name))
+            pairs |= flatten(item, f"{path}.{name}" if path else str(name))
         return pairs
     if isinstance(value, list):
         if any(isinstance(item, Mapping) for item in value):
-            pairs = {f"{at}.count": str(len(value))}
+            pairs = {f"{path}.count": str(len(value))}
             for i, item in enumerate(value):
-                pairs |= flatten(item, f"{at}.{i}")
+                pairs |= flatten(item, f"{path}.{i}")
             return pairs
-        return {at: ",".join(_plain(item) for item in value)}
-    return {} if value is None else {at: _plain(value)}
+        return {path: ",".join(_plain(item) for item in value)}
+    return {} if value is None else {path: _plain(value)}
 
 
 def _plain(value: object) -> str:
@@ -211,42 +211,44 @@
 
 
 def load_config(environment: Mapping[str, str], reread: bool = False) -> Config:
-    """Read the file that NODE_CONFIG names; the other variables stand above what it says.
+    """Read the file that NODE_CONFIG names; the other variables take precedence over its fields.
 
-    Read again, while the program runs, its `discovery` stands above the variable, which tells where discovery
-    was at the start and cannot change.
+    With `reread`, while the program runs, the file's `discovery` takes precedence over the variable, which holds the
+    address at the start and cannot change.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
-        raise ConfigError("NODE_CONFIG names no file")
+        raise ConfigError("NODE_CONFIG does not name a file")
     try:
-        told = json.loads(Path(path).read_text(encoding="utf-8"))
-    except (OSError, ValueError, RecursionError) as fault:
-        raise ConfigError(f"{path} cannot be read: {' '.join(str(fault).split())}") from None
-    if not isinstance(told, dict):
-        raise ConfigError(f"{path} holds no object")
+        document = json.loads(Path(path).read_text(encoding="utf-8"))
+    except (OSError, ValueError, RecursionError) as error:
+        raise ConfigError(f"{path} cannot be read: {' '.join(str(error).split())}") from None
+    if not isinstance(document, dict):
+        raise ConfigError(f"{path} does not hold a JSON object")
     try:
-        settings = read_settings(flatten(told.get("settings") or {}))
+        settings = read_settings(flatten(document.get("settings") or {}))
         if not settings.classes:
-            raise ValueError("the settings name no classes")
-        limits = told.get("limits") or {}
-        known = told.get("known") or {}
+            raise ValueError("settings.classes is missing or empty")
+        limits = document.get("limits") or {}
+        known = document.get("known") or {}
         if not isinstance(limits, dict) or not isinstance(known, dict):
-            raise ValueError("limits and known are objects")
-        state = told.get("state") or {}
+            raise ValueError("limits and known must be objects")
+        state = document.get("state") or {}
         if (
             not isinstance(state, dict)
             or not isinstance(state.get("folder", ""), str)
             or set(state) - {"folder"}
         ):
             raise ValueError('state is an object with a "folder" and nothing else')
-        at_start, now = environment.get("NODE_DISCOVERY"), told.get("discovery")
-        admin = environment.get("NODE_ADMIN_ADDR") or told.get("admin_addr")
+        from_environment, from_file = environment.get("NODE_DISCOVERY"), document.get("discovery")
+        admin = environment.get("NODE_ADMIN_ADDR") or document.get("admin_addr")
         return Config(
-            name=str(environment.get("NODE_NAME") or told.get("name") or "sidecar"),
-            listen=read_address(str(environment.get("NODE_LISTEN") or told.get("listen") or "")),
-            discovery=read_address(str((now or at_start if reread else at_start or now) or "")),
-            seed=_seed(told.get("seed", "")),
+            name=str(environment.get("NODE_NAME") or document.get("name") or "sidecar"),
+            listen=read_address(str(environment.get("NODE_LISTEN") or document.get("listen") or "")),
+            discovery=read_address(
+                str((from_file or from_environment if reread else from_environment or from_file) or "")
+            ),
+            seed=_seed(document.get("seed", "")),
             settings=settings,
             known=known,
             sockets=int(limits.get("sockets") or 1024),
@@ -254,5 +256,5 @@
             state=state.get("folder", ""),
             admin=_admin(admin),
         )
-    except (ValueError, TypeError, OverflowError) as fault:
-        raise ConfigError(f"{path}: {' '.join(str(fault).split())}") from None
+    except (ValueError, TypeError, OverflowError) as error:
+        raise ConfigError(f"{path}: {' '.join(str(error).split())}") from None
--- a/iristrack/recovery/__init__.py
+++ b/iristrack/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a restarted sidecar may believe of what it learned before: decisions without I/O. Time is an argument."""
+"""Recovery of learned state after a restart: decisions without I/O; time is an argument."""
--- a/iristrack/settings.py
+++ b/iristrack/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a process: the JSON file that tells it its machine, addresses and bounds.
+"""Settings of a process: a JSON file with its machine, addresses and limits.
 
-The file's path stands in the environment variable named by `SETTINGS_VARIABLE`. Fields
-that are not known are ignored, and one that is null or an empty text counts as missing.
+The environment variable named by `SETTINGS_VARIABLE` holds the file's path. Unknown fields are ignored, and a field
+that is null or an empty text counts as missing.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundAddresses:
-    """Where the process listens for callers from outside; None for what its role does not serve."""
+    """Addresses at which the process listens for external callers; None for what its role does not serve."""
 
     front_http: Address | None = None
     readiness: Address | None = None
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PortRange:
-    """Ports that are free for traffic between sidecars, both ends included."""
+    """Ports for traffic between sidecars, both ends included."""
 
     first: int
     last: int
@@ -60,7 +60,7 @@
 
     Attributes:
         cpu_fraction: Share of one core.
-        cores: How many times as fast as one core that share runs.
+        cores: Speed of that share, in cores.
         memory_mb: Memory above which the process is killed, in megabytes.
         max_fds: File descriptors.
         link_mbps: Bandwidth of the machine's link, in megabits per second.
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleBounds:
-    """Figures of the rules in force; the unit of a time is the end of its name."""
+    """Parameters of the rules in force; the names of times end in their unit."""
 
     seed_lag_s: float = 3
     addr_reuse_s: float = 2
@@ -123,23 +123,23 @@
 
     @property
     def older_weights_ms(self) -> float:
-        """For how long after newer weights were named work may begin on older ones."""
+        """Time after the announcement of newer weights in which work may still begin on older ones."""
         return min(self.version_ms, self.version_fleet_ms or self.version_ms)
 
     @property
     def key_lease_ms(self) -> float | None:
-        """For how long keys may be honoured unconfirmed; None where removed keys bind machines in touch alone."""
+        """Time for which keys are valid without confirmation; None if removal binds connected machines only."""
         return self.revoke_ms if self.revoke_global else None
 
 
 @dataclass(frozen=True, slots=True)
 class ProviderInterface:
-    """The platform's list of servers.
+    """Interface to the platform's list of servers.
 
     Attributes:
-        address: Where the list is held.
+        address: Address of the platform's API.
         rate_per_s: Calls per second accepted from all sidecars together.
-        duties: Duties that the platform hands out, as they stand in the file.
+        duties: Duties that the platform assigns, as they are in the file.
         lag_ms: Age of the list.
     """
 
@@ -151,31 +151,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one process is told about itself and its surroundings.
+    """Settings of one process.
 
     Attributes:
         node_name: Name of the machine.
         role: Role of the process, as the deploy file names it.
         machine_class: Class of the machine.
-        serves: Callers from outside that the role serves.
-        ip: IP number of the machine.
+        serves: External callers that the role serves.
+        ip: IP address of the machine.
         zone: Zone of the machine.
         region: Region of the machine.
         zones: Region of each zone.
         bind: Addresses for what the role serves.
         port_range: Ports free for traffic between sidecars.
-        seed_nodes: Control addresses of a few machines.
+        seed_nodes: Control addresses of a few machines, for the first contact.
         bootstrap: Whether the whole system starts for the first time, on empty disks.
         quorum_member: Whether the machine counts in `fault_tolerance`.
         limits: Resources of the process.
-        data_dir: Folder of the disk, or None where there is no disk.
-        discovery: How servers are found.
-        entry_kind: How clients enter.
-        beat_interval_ms: Interval between beats.
+        data_dir: Folder on the disk, or None if there is no disk.
+        discovery: How servers are discovered.
+        entry_kind: How clients reach the fleet.
+        beat_interval_ms: Interval between heartbeats.
         active_rules: Parts of the rules in force.
-        fault_tolerance: Losses during which the rules hold.
-        rule_bounds: Figures of the rules.
-        provider_api: The platform's list of servers, or None where there is none.
+        fault_tolerance: Simultaneous losses during which the rules hold.
+        rule_bounds: Parameters of the rules.
+        provider_api: Interface to the platform's list of servers, or None if there is none.
     """
 
     node_name: str
@@ -217,20 +217,20 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return _refuse_document(f"cannot be read: {error}")
+        return _document_error(f"cannot be read: {error}")
     if not isinstance(document, dict):
-        return _refuse_document("is not an object")
-    document = _told(document)
+        return _document_error("is not an object")
+    document = _without_empty(document)
     findings = schema_findings(_SCHEMA, document)
     if findings:
         return Error(findings)
     return Ok(_build_settings(document))
 
 
-def _told(document: Document) -> dict[str, Any]:
-    """Leave out the fields that are empty, also within fields."""
+def _without_empty(document: Document) -> dict[str, Any]:
+    """Return the document without its empty fields, at any depth of objects."""
     return {
-        name: _told(value) if isinstance(value, dict) else value
+        name: _without_empty(value) if isinstance(value, dict) else value
         for name, value in document.items()
         if value is not None and value != ""
     }
@@ -247,7 +247,7 @@
     return Address(host, port)
 
 
-def _refuse_document(problem: str) -> Result[Settings, tuple[Finding, ...]]:
+def _document_error(problem: str) -> Result[Settings, tuple[Finding, ...]]:
     return Error((Finding(WHOLE_DOCUMENT, problem, "write one JSON object"),))
 
 
@@ -256,8 +256,8 @@
         return
     try:
         parse_address(value)
-    except ValueError as fault:
-        error(field, str(fault))
+    except ValueError as parse_error:
+        error(field, str(parse_error))
 
 
 def _check_port_range(field: str, value: object, error: Callable[[str, str], None]) -> None:
