--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""A host for one balancer, driven by hand: what the tests use in place of a sidecar."""
+"""Test host for one balancer, which takes the place of a sidecar."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class Host:
-    """Drives one balancer by hand: a clock, its timers, and a record of what it did."""
+    """Runs one balancer with a manual clock and its timers, and records its actions."""
 
     def __init__(self, configured: Settings | None = None, seed: int = 1, servers: int = 6) -> None:
         self.settings = configured or settings()
@@ -79,9 +79,9 @@
         return ServerEntry(**({"server": f"s{i}", "zone": f"z{i % 2}", "cell": i % 3} | changes))
 
     def list(self, entries: list[ServerEntry], kind: ListKind = ListKind.FULL) -> list[Action]:
-        return self.do(ServerList(kind, tuple(entries)))
+        return self.deliver(ServerList(kind, tuple(entries)))
 
-    def do(self, event: Event) -> list[Action]:
+    def deliver(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -92,36 +92,36 @@
         return actions
 
     def wait(self, ns: int, each: Callable[[list[Action]], None] | None = None) -> list[Action]:
-        """Let time pass, with the timers that come due in it."""
+        """Advance the clock and fire the timers that expire."""
         until = self.now + ns
-        seen: list[Action] = []
+        actions_seen: list[Action] = []
         while self.timers and min(self.timers)[0] <= until:
             timer = min(self.timers)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            actions = self.do(TimerFired(timer[1]))
-            seen += actions
+            actions = self.deliver(TimerFired(timer[1]))
+            actions_seen += actions
             if each:
                 each(actions)
         self.now = until
-        return seen
+        return actions_seen
 
     def ask(self, name: str = "read", key: str | None = "k", give_up: int = 2000 * MS, **more: object) -> str:
         self.count += 1
-        self.do(Request(f"r{self.count}", name, self.now + give_up, key, **more))
+        self.deliver(Request(f"r{self.count}", name, self.now + give_up, key, **more))
         return f"r{self.count}"
 
     def end(
         self, request: str, outcome: Outcome = Outcome.OK, attempt: int = -1, final: bool | None = None
     ) -> list[Action]:
         number = attempt if attempt >= 0 else len(self.attempts[request]) - 1
-        closed = outcome is Outcome.OK if final is None else final
-        return self.do(
-            AttemptEnded(request, number, self.attempts[request][number], outcome, closed, 10 * MS)
+        is_final = outcome is Outcome.OK if final is None else final
+        return self.deliver(
+            AttemptEnded(request, number, self.attempts[request][number], outcome, is_final, 10 * MS)
         )
 
     def end_all(self, request: str, outcome: Outcome) -> None:
-        """End all attempts that were sent for a request; those of one that was never sent are none."""
+        """End all attempts that were sent for a request, if any were."""
         for attempt in range(len(self.attempts.get(request, []))):
             self.end(request, outcome, attempt)
 
@@ -132,7 +132,7 @@
         return [a for _, a in self.log if isinstance(a, Send) and request in (None, a.id)]
 
     def serve(self, requests: int, name: str = "read", keys: int = 50, gap: int = 20 * MS) -> None:
-        """Ordinary traffic: each request answered soon after it was sent."""
+        """Run normal traffic: each request is answered soon after it was sent."""
         for i in range(requests):
             request = self.ask(name, f"warm-{i % keys}")
             self.wait(gap)
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -1,4 +1,4 @@
-"""What a restarted sidecar believes: trust by age, what contradicts a file, and that no restart earns anything."""
+"""State of a restarted sidecar: ageing of its snapshot, contradictions to it, and no gain by a restart."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 def trained_host() -> Host:
-    """A host that has met an ejected server and one that is turned away."""
+    """Return a host with traffic behind it and one unreachable, ejected server."""
     host = Host(seed=3)
     host.serve(200)
-    bad = None
+    bad_server = None
     for _ in range(60):
         request = host.ask("read", f"k{host.count % 40}")
         server = host.sends(request)[-1].server
-        bad = bad or server
+        bad_server = bad_server or server
         host.wait(10 * MS)
-        while host.attempts[request][-1] == bad and not host.answers(request):
+        while host.attempts[request][-1] == bad_server and not host.answers(request):
             sent = len(host.attempts[request])
             host.end(request, Outcome.CONNECT_FAILED)
             if len(host.attempts[request]) == sent:
                 break
-        if host.attempts[request][-1] != bad:
+        if host.attempts[request][-1] != bad_server:
             host.end(request)
-    assert host.balancer.servers[bad].ejected
-    host.bad = bad
+    assert host.balancer.servers[bad_server].ejected
+    host.bad_server = bad_server
     return host
 
 
@@ -51,31 +51,31 @@
     return host
 
 
-def test_a_snapshot_is_plain_and_brings_no_request_back() -> None:
+def test_a_snapshot_is_plain_data_and_restores_no_request() -> None:
     host = trained_host()
     host.ask("read", "open")
     kept = host.balancer.snapshot(host.now)
     assert json.loads(json.dumps(kept)) == kept
-    again = restarted(kept, 0)
-    assert not again.balancer.requests and not again.balancer.queued and not again.timers and not again.log
-    assert all(s.inflight == 0 for s in again.balancer.servers.values())
+    after = restarted(kept, 0)
+    assert not after.balancer.requests and not after.balancer.queued and not after.timers and not after.log
+    assert all(s.inflight == 0 for s in after.balancer.servers.values())
 
 
-def test_what_was_learned_comes_back_at_once() -> None:
+def test_learned_state_is_restored_at_once() -> None:
     host = trained_host()
     kept = host.balancer.snapshot(host.now)
-    again = restarted(kept, 0)
-    old, new = host.balancer, again.balancer
-    assert new.servers[host.bad].ejected
+    after = restarted(kept, 0)
+    old, new = host.balancer, after.balancer
+    assert new.servers[host.bad_server].ejected
     for name in old.classes:
         assert new.classes[name].mean == pytest.approx(old.classes[name].mean)
     for name, server in old.servers.items():
         assert new.servers[name].limiter.limit == pytest.approx(server.limiter.limit, rel=1e-6)
-    request = again.ask("read", "k1")
-    assert again.sends(request)[0].server != host.bad
+    request = after.ask("read", "k1")
+    assert after.sends(request)[0].server != host.bad_server
 
 
-def test_trust_fades_to_what_a_new_balancer_assumes() -> None:
+def test_learned_values_age_to_those_of_a_new_balancer() -> None:
     kept = trained_host().balancer.snapshot(10 * SECOND)
     start = fresh()
     before = None
@@ -91,55 +91,55 @@
     assert old["balancer"] == start["balancer"]
 
 
-def test_a_clock_that_went_back_makes_a_file_worthless() -> None:
+def test_a_snapshot_from_the_future_is_not_used() -> None:
     kept = trained_host().balancer.snapshot(0)
     assert age_snapshot(kept, fresh(), -1) is None and remaining_weight("limits", -1) == 0
 
 
-def test_a_server_that_started_since_or_has_another_id_is_new() -> None:
+def test_a_server_with_another_start_time_is_new() -> None:
     host = trained_host()
     kept = host.balancer.snapshot(host.now)
-    again = restarted(kept, SECOND, started_ns=4 * SECOND)
-    assert not any(s.ejected for s in again.balancer.servers.values())
-    assert all(s.limiter.limit == s.limiter.initial_limit for s in again.balancer.servers.values())
+    after = restarted(kept, SECOND, started_ns=4 * SECOND)
+    assert not any(s.ejected for s in after.balancer.servers.values())
+    assert all(s.limiter.limit == s.limiter.initial_limit for s in after.balancer.servers.values())
 
 
-def test_a_server_that_came_back_cold_is_cold_whatever_the_file_praises() -> None:
+def test_a_cold_server_is_limited_whatever_the_snapshot_says() -> None:
     host = Host(servers=0)
     started = host.now
     host.list([host.entry(i, started_ns=started) for i in range(6)])
     kept = host.balancer.snapshot(host.now)
     for server in kept["servers"].values():
         server["limit"] = 1e9
-    again = restarted(kept, SECOND, started_ns=started)
+    after = restarted(kept, SECOND, started_ns=started)
     for i in range(200):
-        again.ask("read", f"k{i}")
-    praised = len(again.sends())
+        after.ask("read", f"k{i}")
+    with_snapshot = len(after.sends())
     blank = Host(servers=0, seed=9)
     blank.list([blank.entry(i, started_ns=started) for i in range(6)], ListKind.CACHED)
     for i in range(200):
         blank.ask("read", f"k{i}")
-    assert praised <= len(blank.sends()) + 1 and praised < 30
+    assert with_snapshot <= len(blank.sends()) + 1 and with_snapshot < 30
 
 
-def test_what_discovery_does_not_name_is_forgotten() -> None:
+def test_servers_missing_from_a_full_list_are_forgotten() -> None:
     host = trained_host()
-    again = restarted(host.balancer.snapshot(host.now), 0)
-    again.list([again.entry(i) for i in range(6) if again.entry(i).server != host.bad], ListKind.FULL)
-    assert not again.balancer.known_servers
-    again.list([again.entry(i) for i in range(6)], ListKind.FULL)
-    assert not again.balancer.servers[host.bad].ejected
+    after = restarted(host.balancer.snapshot(host.now), 0)
+    after.list([after.entry(i) for i in range(6) if after.entry(i).server != host.bad_server], ListKind.FULL)
+    assert not after.balancer.known_servers
+    after.list([after.entry(i) for i in range(6)], ListKind.FULL)
+    assert not after.balancer.servers[host.bad_server].ejected
 
 
-def test_a_file_that_ejects_all_leaves_half_in_use() -> None:
+def test_a_snapshot_that_ejects_all_servers_leaves_half_in_use() -> None:
     host = trained_host()
     kept = host.balancer.snapshot(host.now)
     for i, server in enumerate(kept["servers"].values()):
         server["down"], server["suspicions"] = True, {"": [True, 9.0, 3, (i + 1) * SECOND, 8 * SECOND]}
-    again = restarted(kept, 0)
-    assert sum(s.ejected for s in again.balancer.servers.values()) == 3
-    request = again.ask("read", "k")
-    assert again.sends(request)
+    after = restarted(kept, 0)
+    assert sum(s.ejected for s in after.balancer.servers.values()) == 3
+    request = after.ask("read", "k")
+    assert after.sends(request)
 
 
 def test_restart_loops_do_not_multiply_the_retry_budget() -> None:
@@ -151,9 +151,9 @@
     assert age_snapshot(kept, fresh(), 3600 * SECOND)["balancer"]["retries"] == MAX_RETRY_TOKENS
 
 
-def test_what_is_no_snapshot_is_said_and_nothing_else() -> None:
+def test_a_malformed_snapshot_raises_one_error_of_one_line() -> None:
     good = trained_host().balancer.snapshot(0)
-    for spoil in (
+    for corrupt in (
         lambda s: s.pop("classes"),
         lambda s: s["balancer"].update(retries="many"),
         lambda s: s["balancer"].update(slowdown=math.nan),
@@ -163,11 +163,11 @@
         lambda s: s.update(tenants=None),
     ):
         kept = copy.deepcopy(good)
-        spoil(kept)
+        corrupt(kept)
         try:
             age_snapshot(kept, fresh(), 0)
-        except ValueError as fault:
-            assert str(fault).startswith("no snapshot") and "\n" not in str(fault)
+        except ValueError as error:
+            assert str(error).startswith("no snapshot") and "\n" not in str(error)
         else:
             assert kept["tenants"] is None, "a sidecar without tenants needs none"
 
@@ -182,7 +182,7 @@
 @given(
     st.sampled_from(["balancer", "tenants", "popular", "classes", "servers"]), TREES, st.integers(0, 10**15)
 )
-def test_any_tree_is_taken_or_refused(part: str, tree: object, age: int) -> None:
+def test_any_value_is_accepted_or_raises_a_value_error(part: str, tree: object, age: int) -> None:
     kept = fresh() | {part: tree}
     try:
         found = age_snapshot(kept, fresh(), age)
@@ -192,8 +192,8 @@
     assert 0 <= balancer.retries <= MAX_RETRY_TOKENS and all(c.mean >= 0 for c in balancer.classes.values())
 
 
-def test_states_of_discovery_still_rule() -> None:
+def test_server_states_of_discovery_take_precedence() -> None:
     host = trained_host()
-    again = restarted(host.balancer.snapshot(host.now), 0, state=ServerState.DRAINING)
-    request = again.ask("read", "k")
-    assert not again.sends(request)
+    after = restarted(host.balancer.snapshot(host.now), 0, state=ServerState.DRAINING)
+    request = after.ask("read", "k")
+    assert not after.sends(request)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -360,7 +360,7 @@
     host.list([host.entry(i, started_ns=host.now) for i in range(2)], ListKind.FULL)
     for request in old:
         server = host.attempts[request][0]
-        host.do(AttemptEnded(request, 0, server, Outcome.OK, True, MS, REPORT))
+        host.deliver(AttemptEnded(request, 0, server, Outcome.OK, True, MS, REPORT))
     for server in host.balancer.servers.values():
         assert server.budget.answers == 0 and server.load_estimate.reported_at is None
 
@@ -371,7 +371,7 @@
     for _ in range(300):
         request = host.ask()
         host.wait(10 * MS)
-        host.do(AttemptEnded(request, 0, "s0", Outcome.OK, True, 10 * MS, REPORT))
+        host.deliver(AttemptEnded(request, 0, "s0", Outcome.OK, True, 10 * MS, REPORT))
     sent = [host.ask(key=f"k{i}") for i in range(3)]
     assert [request in host.attempts for request in sent] == [True, False, False]
     host.wait(REPORT_VALID_NS + REPORT_FADE_NS)  # nothing more is heard: the crowd is forgotten
@@ -387,7 +387,7 @@
         request = host.ask(key=f"k{i}")
         for number, server in enumerate(host.attempts[request]):
             outcome = Outcome.REJECTED if server == "s0" else Outcome.OK
-            host.do(AttemptEnded(request, number, server, outcome, outcome is Outcome.OK, MS, report))
+            host.deliver(AttemptEnded(request, number, server, outcome, outcome is Outcome.OK, MS, report))
         host.wait(20 * MS)
     refusing, other = host.balancer.servers["s0"], host.balancer.servers["s1"]
     assert refusing.load_estimate.others_inflight < 1 and refusing.limiter.limit < other.limiter.limit
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path: the design's pair, and the fewer of our own requests in flight."""
+"""The normal path: a key's pair of candidates, and the one with fewer of our requests in flight."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return host.attempts[first] + host.attempts[second]
 
 
-def met_by(host: Host, key: str) -> list[str]:
-    """Where a balancer that knows its traffic sends two requests of a key, the first still out."""
+def pair_after_traffic(host: Host, key: str) -> list[str]:
+    """Return where a balancer with traffic behind it sends two requests of a key, both in flight."""
     host.serve(200)
     return pair_of(host, key)
 
@@ -42,12 +42,12 @@
     first, second = pair_of(host, "a")
     third = host.ask(key="a")
     assert first != second
-    assert host.attempts[third] == [first]  # a tie again, so the first in rank
+    assert host.attempts[third] == [first]  # a tie again, so the first in the ranking
     host.end("r1")
-    assert host.attempts[host.ask(key="a")] == [first]  # now fewer in flight there
+    assert host.attempts[host.ask(key="a")] == [first]  # which has fewer in flight now
 
 
-def test_the_tie_goes_to_the_first_in_rank_where_balancers_are_few() -> None:
+def test_with_few_balancers_a_tie_goes_to_the_first_in_the_ranking() -> None:
     one, two = Host(seed=1), Host(seed=2)
     for i in range(30):
         a, b = one.ask(key=f"k{i}"), two.ask(key=f"k{i}")
@@ -56,19 +56,19 @@
         two.end(b)
 
 
-def test_all_balancers_agree_on_the_pair_and_chance_settles_ties() -> None:
+def test_with_many_balancers_all_agree_on_the_pair_and_ties_are_random() -> None:
     firsts = set()
     pairs = set()
     for seed in range(20):
-        pair = met_by(Host(settings(balancers=13), seed=seed), "a")
+        pair = pair_after_traffic(Host(settings(balancers=13), seed=seed), "a")
         firsts.add(pair[0])
         pairs.add(frozenset(pair))
     assert len(pairs) == 1
     assert firsts == pairs.pop()
 
 
-def test_a_key_too_hot_for_a_pair_is_split_before_anything_is_full() -> None:
-    # One request in flight at most: own counts and limits say nothing, as where balancers are many.
+def test_a_key_too_hot_for_a_pair_is_split_before_a_server_is_full() -> None:
+    # At most one request is in flight, as with many balancers, so that counts and limits show nothing.
     hot, rare = Counter(), Counter()
     host = Host(settings(balancers=500), servers=40)
     for i in range(600):
@@ -100,7 +100,7 @@
     assert min(firsts.values()) > 50
 
 
-def test_a_bigger_server_gets_more_keys_where_weights_tell_sizes() -> None:
+def test_a_larger_server_gets_more_keys_if_weights_give_sizes() -> None:
     host = Host(settings(sized_weights=True), servers=0)
     host.list([Host.entry(i, weight=3.0 if i == 0 else 1.0) for i in range(4)])
     firsts = Counter()
@@ -111,7 +111,7 @@
     assert firsts["s0"] > 2 * firsts["s1"]
 
 
-def test_no_key_draws_from_the_seed() -> None:
+def test_requests_without_a_key_use_the_seed() -> None:
     one, two, other = Host(seed=7), Host(seed=7), Host(seed=8)
     drawn = []
     for host in (one, two, other):
@@ -122,7 +122,7 @@
     assert len(set(drawn[0])) > 2
 
 
-def test_only_a_lost_servers_keys_move() -> None:
+def test_only_the_keys_of_a_lost_server_move() -> None:
     host = Host()
     before = {}
     for i in range(60):
@@ -137,14 +137,14 @@
         host.end(request)
 
 
-def test_a_hot_key_widens_when_its_pair_is_full() -> None:
+def test_a_hot_key_uses_more_servers_when_its_pair_is_full() -> None:
     host = Host()
     for _ in range(12):
         host.ask(key="hot")
     used = Counter(s.server for s in host.sends())
     assert len(used) > 2
     first, second = pair_of(Host(), "hot")
-    assert used[first] == used[second] == 3  # the start limit, 12 over 4 balancers
+    assert used[first] == used[second] == 3  # the initial limit: 12 shared by 4 balancers
 
 
 def test_the_same_events_give_the_same_actions_under_any_hash_seed() -> None:
@@ -170,16 +170,16 @@
     assert len(runs.pop()) > 1000
 
 
-def decided_under_names(of: Callable[[str], str]) -> list:
-    """What is decided in a busy, troubled stretch where classes, tenants and zones go by other names."""
-    tenants = (Tenant(of("north"), 0.7), Tenant(of("south"), 0.3))
-    named = tuple(replace(c, name=of(c.name)) for c in classes(group=Group.ZONE))
-    host = Host(settings(classes=named, tenants=tenants), servers=0)
-    host.list([replace(e, zone=of(e.zone)) for e in map(Host.entry, range(6))])
+def actions_with_renamed(rename: Callable[[str], str]) -> list:
+    """Return the actions under load and failures, with classes, tenants and zones renamed."""
+    tenants = (Tenant(rename("north"), 0.7), Tenant(rename("south"), 0.3))
+    renamed = tuple(replace(c, name=rename(c.name)) for c in classes(group=Group.ZONE))
+    host = Host(settings(classes=renamed, tenants=tenants), servers=0)
+    host.list([replace(e, zone=rename(e.zone)) for e in map(Host.entry, range(6))])
     endings = [Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED]
     for i in range(400):
-        name = of(("read", "book", "move")[i % 3])
-        request = host.ask(name, f"k{i % 23}", tenant=of(("north", "south")[i % 5 == 0]))
+        name = rename(("read", "book", "move")[i % 3])
+        request = host.ask(name, f"k{i % 23}", tenant=rename(("north", "south")[i % 5 == 0]))
         host.wait((2, 40)[i % 7 == 0] * MS)
         if i % 2:
             host.end_all(request, endings[i // 2 % len(endings)])
@@ -188,8 +188,8 @@
 
 
 def test_no_name_of_class_tenant_or_zone_changes_a_decision() -> None:
-    plain = decided_under_names(lambda name: name)
-    assert plain == decided_under_names(lambda name: f"{len(name)}-{name[::-1]}-other")
+    plain = actions_with_renamed(lambda name: name)
+    assert plain == actions_with_renamed(lambda name: f"{len(name)}-{name[::-1]}-other")
     assert {type(action) for _, action in plain} >= {Send, Reject, Fail, Log}
 
 
@@ -214,6 +214,6 @@
         ({"resolution_ns": 0}, "resolution_ns"),
     ],
 )
-def test_settings_that_cannot_be_are_named(changes: dict[str, object], name: str) -> None:
+def test_invalid_settings_are_named(changes: dict[str, object], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**changes)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Random legal and odd event sequences: the four rules and bounded memory, whatever happens."""
+"""Property tests: random legal and illegal event sequences keep the four rules and bounded memory."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 )
 
 
-class Judge:
-    """Knows the rules and watches every action."""
+class RuleChecker:
+    """Checks every action of a balancer against the rules."""
 
     def __init__(self, group: Group, copies: bool, balancers: int) -> None:
         self.host = Host(
@@ -60,9 +60,9 @@
     def check(self) -> None:
         for at, action in self.host.log[self.seen :]:
             self.seen += 1
-            self.judge(at, action)
+            self.check_action(at, action)
 
-    def judge(self, at: int, action: Action) -> None:
+    def check_action(self, at: int, action: Action) -> None:
         if isinstance(action, Send):
             record = self.open[action.id]
             assert not record["over"], "sent after the end"
@@ -95,10 +95,10 @@
 
     @staticmethod
     def place(group: Group, server: str) -> int:
-        """As `Host.entry` places servers: two zones, three cells."""
+        """Return the group of a server as `Host.entry` assigns it: two zones, three cells."""
         return int(server[1:]) % {Group.ALL: 1, Group.ZONE: 2, Group.CELL: 3}[group]
 
-    def out(self) -> list[tuple[str, int]]:
+    def in_flight(self) -> list[tuple[str, int]]:
         return [
             (r, n)
             for r, record in self.open.items()
@@ -111,19 +111,19 @@
         record["attempts"][number][2] = outcome
         if outcome is Outcome.OK:
             record["over"] = True
-        self.host.do(
+        self.host.deliver(
             AttemptEnded(request, number, record["attempts"][number][0], outcome, record["over"], MS)
         )
         self.check()
 
     def wait(self, ns: int) -> None:
-        """Time passes as a host lets it: attempts end at their time-out, a client's patience ends too."""
+        """Advance the clock; attempts end at their timeout, and each request must be answered in time."""
         until = self.host.now + ns
         while True:
             due = [
-                (a.timeout_ns + at, a.id, self.numbers(a, at))
+                (a.timeout_ns + at, a.id, self.attempt_number(a, at))
                 for at, a in self.host.log
-                if isinstance(a, Send) and self.numbers(a, at) is not None
+                if isinstance(a, Send) and self.attempt_number(a, at) is not None
             ]
             timers = min(self.host.timers)[0] if self.host.timers else until + 1
             first = min(due)[0] if due else until + 1
@@ -136,13 +136,13 @@
             else:
                 timer = min(self.host.timers)
                 self.host.timers.remove(timer)
-                self.host.do(TimerFired(timer[1]))
+                self.host.deliver(TimerFired(timer[1]))
             self.check()
         self.host.now = until
         for request, record in self.open.items():
             assert record["over"] or record["deadline"] + 20 * MS >= until, f"{request} was never answered"
 
-    def numbers(self, send: Send, at: int) -> int | None:
+    def attempt_number(self, send: Send, at: int) -> int | None:
         for number, (server, sent, state) in enumerate(self.open[send.id]["attempts"]):
             if state is None and server == send.server and sent == at:
                 return number
@@ -151,41 +151,43 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(STEPS, st.sampled_from(list(Group)), st.booleans(), st.sampled_from([4, 500]))
-def test_the_rules_hold_whatever_happens(steps: list, group: Group, copies: bool, balancers: int) -> None:
-    judge = Judge(group, copies, balancers)
-    host = judge.host
+def test_the_rules_hold_for_any_sequence_of_events(
+    steps: list, group: Group, copies: bool, balancers: int
+) -> None:
+    checker = RuleChecker(group, copies, balancers)
+    host = checker.host
     for kind, one, two in steps:
         if kind == "ask":
             name = f"r{host.count + 1}"
-            judge.open[name] = {
-                "spec": judge.specs[one],
+            checker.open[name] = {
+                "spec": checker.specs[one],
                 "attempts": [],
                 "over": False,
                 "deadline": host.now + 500 * MS,
             }
             host.ask(one, f"k{two}" if two else None, give_up=500 * MS)
-        elif kind == "end" and judge.out():
-            out = judge.out()
-            judge.end(*out[two % len(out)], one)
+        elif kind == "end" and checker.in_flight():
+            attempts = checker.in_flight()
+            checker.end(*attempts[two % len(attempts)], one)
         elif kind == "wait":
-            judge.wait(one * MS)
-        elif kind == "gone" and judge.open:
-            request = list(judge.open)[one % len(judge.open)]
-            judge.open[request]["over"] = True
-            host.do(ClientGone(request))
+            checker.wait(one * MS)
+        elif kind == "gone" and checker.open:
+            request = list(checker.open)[one % len(checker.open)]
+            checker.open[request]["over"] = True
+            host.deliver(ClientGone(request))
         elif kind == "state":
             server = f"s{two}"
-            (judge.draining.discard if one is ServerState.READY else judge.draining.add)(server)
+            (checker.draining.discard if one is ServerState.READY else checker.draining.add)(server)
             host.list([Host.entry(two, state=one)], kind=ListKind.DELTA)
-        elif kind == "restart" and f"s{one}" not in judge.draining:
+        elif kind == "restart" and f"s{one}" not in checker.draining:
             host.list([Host.entry(one, started_ns=host.now)], kind=ListKind.DELTA)
         elif kind == "odd":
-            host.do(TimerFired(one))
-            host.do(AttemptEnded(f"r{two}", 7, "s1", Outcome.OK, True))
-            host.do(AttemptEnded("stranger", one, "s9", Outcome.ERROR, False))
-        judge.check()
-    judge.wait(2 * NS_PER_S)
-    assert all(record["over"] for record in judge.open.values())
+            host.deliver(TimerFired(one))
+            host.deliver(AttemptEnded(f"r{two}", 7, "s1", Outcome.OK, True))
+            host.deliver(AttemptEnded("stranger", one, "s9", Outcome.ERROR, False))
+        checker.check()
+    checker.wait(2 * NS_PER_S)
+    assert all(record["over"] for record in checker.open.values())
     assert not host.balancer.requests
 
 
@@ -212,10 +214,10 @@
     assert all(len(c.outstanding) < 100 for c in balancer.classes.values())
 
 
-def test_what_waited_in_vain_is_forgotten_in_a_long_overload() -> None:
+def test_rejected_requests_leave_the_queues_in_a_long_overload() -> None:
     host = Host(servers=1)
     for server in host.balancer.servers.values():
-        server.add_inflight(1000)  # never any room
+        server.add_inflight(1000)  # never any capacity
     for i in range(3000):
         host.ask("read", f"k{i % 5}")
         host.wait(10 * MS)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, on the module alone."""
+"""The four rules, tested on the balancer alone."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("name", ["read", "book", "move", "unheard-of"])
-def test_a_time_out_is_answered_once_and_nothing_follows(name: str) -> None:
+def test_a_time_out_gets_one_answer_and_no_further_attempt(name: str) -> None:
     host = Host()
     request = host.ask(name, give_up=400 * MS)
     send = host.sends(request)[0]
@@ -50,7 +50,7 @@
     host.end_all(request, Outcome.TIMEOUT)
     assert len(host.answers(request)) == 1
     count = len(host.sends(request))
-    host.end(request, Outcome.OK, 0)  # late and double
+    host.end(request, Outcome.OK, 0)  # a late second answer
     host.wait(2 * NS_PER_S)
     assert len(host.answers(request)) == 1
     assert len(host.sends(request)) == count
@@ -64,22 +64,22 @@
     assert not host.sends(request)
 
 
-def test_held_requests_are_answered_before_the_client_gives_up() -> None:
+def test_queued_requests_are_answered_before_the_client_gives_up() -> None:
     host = Host(servers=2)
     requests = [host.ask("book", f"k{i}", give_up=350 * MS) for i in range(40)]
     host.wait(350 * MS)
-    held = [r for r in requests if r not in host.attempts]
-    assert len(held) > 20
-    assert all(len(host.answers(r)) == 1 for r in held)
+    queued = [r for r in requests if r not in host.attempts]
+    assert len(queued) > 20
+    assert all(len(host.answers(r)) == 1 for r in queued)
 
 
-def test_a_try_with_no_time_left_is_turned_away_at_once() -> None:
+def test_a_request_with_no_time_left_is_rejected_at_once() -> None:
     host = Host()
     request = host.ask(give_up=MS)
     assert [type(a) for a in host.answers(request)] == [Reject]
 
 
-def test_attempts_used_up_end_with_one_answer() -> None:
+def test_a_request_out_of_attempts_gets_one_answer() -> None:
     host = Host(settings(limits=Limits(max_attempts=3)))
     request = host.ask("book")
     for attempt in range(3):
@@ -88,32 +88,32 @@
     assert [type(a) for a in host.answers(request)] == [Reject]
 
 
-def test_a_client_that_left_is_owed_nothing() -> None:
+def test_a_client_that_left_gets_no_answer() -> None:
     host = Host()
     request = host.ask()
-    host.do(ClientGone(request))
+    host.deliver(ClientGone(request))
     host.end(request, Outcome.ERROR, 0, final=True)
     host.wait(NS_PER_S)
     assert not host.answers(request)
     assert len(host.sends(request)) == 1
 
 
-def test_odd_events_are_ignored() -> None:
+def test_unexpected_events_are_ignored() -> None:
     host = Host()
     request = host.ask()
     before = len(host.log)
-    host.do(AttemptEnded("nobody", 0, "s1", Outcome.OK, True))
-    host.do(AttemptEnded(request, 9, "s1", Outcome.OK, True))
-    host.do(ClientGone("nobody"))
-    host.do(TimerFired(99))
-    host.do(Request(request, "read", host.now + NS_PER_S, "k"))  # an id that is in use
+    host.deliver(AttemptEnded("nobody", 0, "s1", Outcome.OK, True))
+    host.deliver(AttemptEnded(request, 9, "s1", Outcome.OK, True))
+    host.deliver(ClientGone("nobody"))
+    host.deliver(TimerFired(99))
+    host.deliver(Request(request, "read", host.now + NS_PER_S, "k"))  # the id of an open request
     assert len(host.log) == before
     host.end(request)
     host.end(request)
     assert not host.answers(request)
 
 
-# ---- no effect twice
+# ---- no duplicate effects
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("outcome", NEVER)
-def test_an_unsafe_request_that_never_ran_goes_elsewhere(outcome: Outcome) -> None:
+def test_an_unsafe_request_that_never_ran_is_sent_to_another_server(outcome: Outcome) -> None:
     host = Host()
     request = host.ask("book")
     host.end(request, outcome)
@@ -160,7 +160,7 @@
     assert repeats > 3
 
 
-def test_a_keyed_request_is_not_repeated_past_the_memory() -> None:
+def test_a_keyed_request_is_not_repeated_after_its_key_expires() -> None:
     move = replace(classes()[2], aim_ns=1900 * MS, memory_ns=100 * MS)
     host = Host(settings(classes=(move,)))
     request = host.ask("move")
@@ -170,14 +170,14 @@
     assert [type(a) for a in host.answers(request)] == [Fail]
 
 
-def test_no_second_copy_while_an_attempt_is_out() -> None:
+def test_no_second_attempt_while_one_is_in_flight() -> None:
     host = Host()
     host.serve(60)
     request = host.ask("read")
     host.wait(390 * MS)
     assert len(host.attempts[request]) == 1
     host.end(request, Outcome.RESET)
-    assert len(host.attempts[request]) == 1  # too late for another answer
+    assert len(host.attempts[request]) == 1  # too late for a retry
 
 
 # ---- drains
@@ -186,54 +186,54 @@
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_nothing_new_goes_to_a_draining_or_gone_server(state: ServerState) -> None:
     host = Host(servers=3)
-    host.do(ServerList(ListKind.DELTA, (ServerEntry("s1", state, "z1", 1),)))
+    host.deliver(ServerList(ListKind.DELTA, (ServerEntry("s1", state, "z1", 1),)))
     for i in range(60):
         request = host.ask(key=f"k{i}")
         assert host.attempts[request] != ["s1"]
         host.end(request)
 
 
-def test_a_server_missing_from_a_full_list_is_gone_and_from_a_change_it_is_not() -> None:
+def test_a_server_missing_from_a_full_list_is_gone_but_not_from_a_delta() -> None:
     host = Host(servers=3)
-    host.do(ServerList(ListKind.DELTA, (Host.entry(0),)))
+    host.deliver(ServerList(ListKind.DELTA, (Host.entry(0),)))
     host.serve(30)
     assert {s.server for s in host.sends()} == {"s0", "s1", "s2"}
     count = len(host.sends())
-    host.do(ServerList(ListKind.FULL, (Host.entry(0),)))
+    host.deliver(ServerList(ListKind.FULL, (Host.entry(0),)))
     host.serve(30)
     assert {s.server for s in host.sends()[count:]} == {"s0"}
 
 
-def test_a_retry_does_not_go_to_a_server_that_drains_meanwhile() -> None:
+def test_a_retry_does_not_go_to_a_server_that_started_to_drain() -> None:
     host = Host(servers=2)
     request = host.ask()
     other = ({"s0", "s1"} - set(host.attempts[request])).pop()
-    host.do(ServerList(ListKind.DELTA, (ServerEntry(other, ServerState.DRAINING),)))
+    host.deliver(ServerList(ListKind.DELTA, (ServerEntry(other, ServerState.DRAINING),)))
     host.end(request, Outcome.ERROR)
     assert len(host.attempts[request]) == 1
 
 
-def test_the_list_is_asked_for_where_it_must_be_and_again_after_a_failure() -> None:
+def test_the_balancer_subscribes_if_needed_and_again_after_a_failure() -> None:
     host = Host(settings(ask_for_list=True), servers=0)
-    first = host.do(ServerList(ListKind.CACHED, (Host.entry(0),)))
+    first = host.deliver(ServerList(ListKind.CACHED, (Host.entry(0),)))
     assert Subscribe(True) in first
-    host.do(ServerList(ListKind.FAILED))
+    host.deliver(ServerList(ListKind.FAILED))
     assert Subscribe(True) in host.wait(3 * NS_PER_S)
     assert host.attempts[host.ask()] == ["s0"]
 
 
-def test_sidecars_whose_calls_failed_together_ask_again_out_of_step() -> None:
+def test_sidecars_whose_calls_failed_together_resubscribe_at_random_times() -> None:
     delays = set()
     for seed in range(8):
         host = Host(settings(ask_for_list=True), seed=seed, servers=0)
-        asked = host.do(ServerList(ListKind.FAILED))
+        asked = host.deliver(ServerList(ListKind.FAILED))
         delays |= {action.delay_ns // (50 * MS) for action in asked if isinstance(action, SetTimer)}
     assert len(delays) >= 4 and 10 <= min(delays) <= max(delays) < 30
 
 
-def test_the_list_is_not_asked_for_where_it_is_pushed() -> None:
+def test_the_balancer_does_not_subscribe_to_a_pushed_list() -> None:
     host = Host()
-    host.do(ServerList(ListKind.FAILED))
+    host.deliver(ServerList(ListKind.FAILED))
     host.wait(5 * NS_PER_S)
     assert not [a for _, a in host.log if isinstance(a, Subscribe)]
 
@@ -244,9 +244,9 @@
 def sends_to_cold(
     gaps_ms: list[int], cold: list[int], servers: int = 6
 ) -> tuple[list[tuple[int, int]], float]:
-    """Uneven balancers, then some servers start anew; what those were sent, and the warm rate.
+    """Run balancers with uneven traffic, then restart some servers; return the sends to those and the warm rate.
 
-    A cold server answers in turn, and no faster than the contract promises at its age.
+    A cold server answers in order, and no faster than the contract promises at its age.
     """
     hosts = [Host(servers=servers) for _ in gaps_ms]
     for host, gap in zip(hosts, gaps_ms, strict=True):
@@ -295,16 +295,16 @@
     window = contract.fall_ns
     for server in cold:
         times = [t for t, s in sent if s == server]
-        assert times  # it does get work
+        assert times  # it gets some requests
         for start in times:
             share = contract.cold_share + (1 - contract.cold_share) * start / contract.cold_ns
             arrived = sum(1 for t in times if start <= t < start + window)
-            # a warm server bears at least the warm rate, so this is within the contract's multiple
+            # A warm server can take at least the warm rate, so this is within the contract's factor.
             assert arrived <= contract.overload_factor * share * warm_rate * window / NS_PER_S
 
 
 def test_very_many_balancers_do_not_each_send_a_cold_server_its_first_request_at_once() -> None:
-    # Each has had two requests a second for four servers; then one server starts anew.
+    # Each balancer sends two requests per second to four servers; then one server restarts.
     sent = 0
     for seed in range(200):
         host = Host(settings(balancers=200), seed=seed, servers=4)
@@ -322,21 +322,21 @@
     assert able / 10 < sent < able * contract.overload_factor / 2
 
 
-def test_a_server_that_was_long_up_is_not_held_back() -> None:
+def test_a_server_that_started_long_ago_is_not_limited() -> None:
     host = Host(servers=2)
     host.list([Host.entry(0), Host.entry(1, started_ns=host.now - 60 * NS_PER_S)])
     host.serve(60)
     assert sum(s.server == "s1" for s in host.sends()) > 15
 
 
-def test_an_all_cold_fleet_at_the_start_still_serves() -> None:
+def test_a_fleet_of_cold_servers_still_serves() -> None:
     host = Host(settings(contract=Contract(cold_share=0.25, cold_ns=20 * NS_PER_S)), servers=0)
     host.list([Host.entry(i, started_ns=host.now) for i in range(4)])
     host.serve(200)
     assert {s.server for s in host.sends()} == {"s0", "s1", "s2", "s3"}
 
 
-def test_a_started_stream_belongs_to_the_client() -> None:
+def test_a_started_stream_gets_no_further_action() -> None:
     stream = RequestClass("feed", 400 * MS, 2000 * MS, repeat=Repeat.SAFE, stream=True)
     host = Host(settings(classes=(stream,)))
     for _ in range(100):
@@ -344,8 +344,8 @@
         host.wait(20 * MS)
     request = host.ask("feed", "k")
     host.wait(300 * MS)
-    assert host.do(AttemptStarted(request, 0, host.attempts[request][0], 50 * MS)) == []
-    host.wait(5 * NS_PER_S)  # past every deadline: nothing is sent, answered or called off
+    assert host.deliver(AttemptStarted(request, 0, host.attempts[request][0], 50 * MS)) == []
+    host.wait(5 * NS_PER_S)  # past every deadline: nothing is sent, answered or cancelled
     assert len(host.attempts[request]) == 1
     assert not [a for _, a in host.log if isinstance(a, Cancel)]
     assert not host.answers(request)
@@ -354,7 +354,7 @@
     assert request not in host.balancer.requests
 
 
-def test_a_start_in_the_future_and_no_cold_time_at_all_are_no_trouble() -> None:
+def test_a_start_in_the_future_without_a_cold_time_is_harmless() -> None:
     host = Host(settings(contract=Contract(cold_ns=0)), servers=0)
     host.list([Host.entry(0, started_ns=host.now + NS_PER_S)])
     assert host.ask() in host.attempts
@@ -363,20 +363,20 @@
 def test_a_stream_event_for_no_attempt_is_ignored() -> None:
     host = Host()
     request = host.ask()
-    assert host.do(AttemptStarted(request, -1, "s0")) == []
+    assert host.deliver(AttemptStarted(request, -1, "s0")) == []
     assert not host.balancer.requests[request].streaming
 
 
-def test_a_clock_that_stands_still_is_no_trouble() -> None:
+def test_a_clock_that_stands_still_is_harmless() -> None:
     host = Host()
     for i in range(60):
         host.end(host.ask("read", f"k{i}"))
     host.ask("read", "k")
-    host.do(TimerFired(host.timers[0][1]))
+    host.deliver(TimerFired(host.timers[0][1]))
     assert host.attempts[host.ask("read", "k")]
 
 
-def test_ever_new_unknown_classes_do_not_pile_up() -> None:
+def test_unknown_classes_do_not_fill_the_memory() -> None:
     host = Host()
     for i in range(500):
         host.end_all(host.ask(f"unheard-of-{i}"), Outcome.OK)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""One test for each failure met: each fails without the code that answers it."""
+"""Failure modes: each test fails without the code that handles its failure."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def drive(host: Host, requests: int, bad: set[str], outcome: Outcome, name: str = "read") -> list[str]:
-    """Traffic in which some servers end every attempt badly; the server of each first attempt."""
+    """Run traffic in which `bad` servers fail every attempt; return the server of each first attempt."""
     firsts = []
     for i in range(requests):
         request = host.ask(name, f"k{i % 40}")
@@ -39,7 +39,7 @@
     return firsts
 
 
-def test_a_server_that_fails_fast_does_not_draw_its_keys() -> None:
+def test_a_server_that_fails_fast_does_not_attract_its_keys() -> None:
     firsts = drive(Host(), 200, {"s1"}, Outcome.ERROR)
     assert firsts.count("s1") < 12
 
@@ -52,7 +52,7 @@
     assert host.attempts[host.ask("book", key="a")] != [first]
 
 
-def test_a_server_comes_back_by_trials() -> None:
+def test_an_ejected_server_returns_after_successful_trials() -> None:
     host = Host()
     drive(host, 100, {"s1"}, Outcome.ERROR)
     assert drive(host, 60, {"s1"}, Outcome.ERROR, "book").count("s1") <= 2
@@ -65,25 +65,25 @@
 
 
 def test_a_server_that_fails_one_class_goes_on_serving_another() -> None:
-    # Half of the servers failed one class: thrown out whole, they left the other class to the rest.
+    # Half of the servers failed one class. Ejected for all classes, they left the other class to the rest.
     host = Host()
     drive(host, 1000, {"s1"}, Outcome.ERROR)
     assert drive(host, 40, {"s1"}, Outcome.ERROR).count("s1") <= 2
     assert drive(host, 40, set(), Outcome.OK, "move").count("s1") > 5
 
 
-def test_a_server_that_turns_one_class_away_is_not_starved_of_another() -> None:
-    # Six servers turned one class away whatever their load: their limits fell to 0.1 for both classes.
+def test_a_server_that_rejects_one_class_still_gets_another() -> None:
+    # Six servers rejected one class whatever their load, and their limits fell to 0.1 for both classes.
     host = Host()
     drive(host, 1000, {"s1"}, Outcome.REJECTED)
-    room = host.balancer.servers["s1"].limiter
-    assert room.limit >= 1
+    limiter = host.balancer.servers["s1"].limiter
+    assert limiter.limit >= 1
     assert drive(host, 40, {"s1"}, Outcome.REJECTED).count("s1") <= 2
     assert drive(host, 40, set(), Outcome.OK, "move").count("s1") > 5
 
 
-def test_errors_at_all_servers_alike_eject_nobody() -> None:
-    # Answers that break off at every server, one in ten: those left after ejections would only be crowded.
+def test_errors_at_all_servers_alike_eject_none() -> None:
+    # One in ten answers breaks off at every server: ejections would only overload the remaining ones.
     host = Host(servers=6)
     chance = Random(3)
     for i in range(1500):
@@ -100,8 +100,8 @@
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.06])
-def test_a_lost_attempt_is_given_up_in_time_for_another(lost: float) -> None:
-    # Connections fell silent at all servers alike: each such request waited until its client left.
+def test_a_lost_attempt_times_out_early_enough_for_a_retry(lost: float) -> None:
+    # Connections went silent at all servers alike, and each such request waited until its client left.
     host = Host(servers=6)
     chance = Random(3)
     due: list[tuple[int, Send]] = []
@@ -127,8 +127,8 @@
 
 
 @pytest.mark.parametrize(("name", "tries"), [("move", 2), ("read", 2), ("book", 1)])
-def test_a_keyed_request_asks_its_groups_only_server_once_more(name: str, tries: int) -> None:
-    # Its connection broke, its group held no other server: it failed with half a second left.
+def test_a_keyed_request_is_retried_once_at_its_groups_only_server(name: str, tries: int) -> None:
+    # The connection broke and the group had no other server: the request failed with half a second left.
     host = Host(settings(classes=classes(group=Group.ZONE)), servers=2)  # one in each zone
     request = host.ask(name)
     host.end(request, Outcome.RESET)
@@ -136,7 +136,9 @@
         host.end(request, Outcome.RESET)
     sent = host.attempts[request]
     assert len(sent) == tries
-    assert (len(set(sent)) == 1) is (name != "read")  # a safe one goes elsewhere, an unsafe one nowhere
+    assert (len(set(sent)) == 1) is (
+        name != "read"
+    )  # a safe request goes to another server, an unsafe one to none
 
 
 def test_one_broken_connection_does_not_eject_a_server_that_answers() -> None:
@@ -153,14 +155,14 @@
     assert host.balancer.servers[server].ejected
 
 
-def test_suspicion_never_ejects_more_than_half() -> None:
+def test_ejections_on_suspicion_spare_half_of_the_servers() -> None:
     host = Host(servers=6)
     drive(host, 300, {f"s{i}" for i in range(6)}, Outcome.ERROR)
     ejected = {a.text.split()[1] for _, a in host.log if isinstance(a, Log) and "ejected" in a.text}
     assert 1 <= len(ejected) <= 3
 
 
-def test_servers_that_cannot_be_reached_are_out_however_many_the_list_still_names() -> None:
+def test_unreachable_servers_are_ejected_however_many_are_still_listed() -> None:
     host = Host(servers=6)
     dead = {"s0", "s1", "s2", "s3"}
     firsts = drive(host, 200, dead, Outcome.CONNECT_FAILED)
@@ -168,7 +170,7 @@
     assert len(firsts) == 200
 
 
-def test_a_hanging_server_is_out_before_its_attempts_time_out() -> None:
+def test_a_hung_server_is_ejected_before_its_attempts_time_out() -> None:
     host = Host()
     hung: list[str] = []
     answered: list[str] = []
@@ -189,7 +191,7 @@
     assert host.now - first < 390 * MS  # when the first of them would time out
 
 
-def test_slowness_of_the_whole_fleet_ejects_nobody() -> None:
+def test_slowness_of_the_whole_fleet_ejects_no_server() -> None:
     host = Host(servers=6)
     for i in range(300):
         host.ask("book", f"k{i}")
@@ -201,14 +203,14 @@
     assert not [a for _, a in host.log if isinstance(a, Log) and "ejected" in a.text]
 
 
-def test_retries_do_not_become_a_storm() -> None:
+def test_retries_do_not_become_a_retry_storm() -> None:
     host = Host(servers=12)
     drive(host, 400, {f"s{i}" for i in range(12)}, Outcome.ERROR)
     first_tries = len({s.id for s in host.sends()})
     assert len(host.sends()) - first_tries <= 0.1 * 400 + 10
 
 
-def test_crowding_lowers_the_limit_and_requests_wait_here() -> None:
+def test_overload_lowers_the_limit_and_queues_requests() -> None:
     host = Host(servers=2)
     for _ in range(6):
         pending = [host.ask("read", f"k{i}") for i in range(10)]
@@ -220,19 +222,19 @@
     assert sum(r in host.attempts for r in pending) <= 2
 
 
-def test_the_best_worth_leaves_the_waiting_room_first() -> None:
+def test_the_highest_worth_leaves_the_queue_first() -> None:
     host = Host(servers=1)
     running = [host.ask("read", "a") for _ in range(3)]
-    cheap, dear = host.ask("read", "a"), host.ask("book", "a")
+    cheap, high_worth = host.ask("read", "a"), host.ask("book", "a")
     assert cheap not in host.attempts
-    assert dear not in host.attempts
+    assert high_worth not in host.attempts
     host.end(running[0])
     host.end(running[1])
     sent = [s.id for s in host.sends()]
-    assert sent.index(dear) < sent.index(cheap)
+    assert sent.index(high_worth) < sent.index(cheap)
 
 
-def test_overload_does_not_scatter_keys_over_servers_that_never_met_them() -> None:
+def test_overload_does_not_scatter_keys_over_other_servers() -> None:
     host = Host(servers=6)
     for i in range(60):
         host.ask("read", f"k{i}")
@@ -242,7 +244,7 @@
     assert len(host.sends()) - before <= 3  # those keys wait for their own pair
 
 
-def test_a_late_sent_time_out_is_no_sign_of_speed() -> None:
+def test_an_early_time_out_of_a_late_attempt_does_not_raise_the_limit() -> None:
     host = Host(servers=1)
     for i in range(30):
         request = host.ask("read", f"k{i}", give_up=260 * MS)
@@ -254,7 +256,7 @@
     assert sum(r in host.attempts for r in pending) <= 1
 
 
-def test_a_timed_out_attempt_counts_for_a_while_as_its_work_may_go_on() -> None:
+def test_a_timed_out_attempt_counts_as_in_flight_for_a_while() -> None:
     host = Host(servers=1)
     running = [host.ask("read", "a") for _ in range(3)]
     host.wait(390 * MS)
@@ -266,7 +268,7 @@
     assert host.ask("read", "a") in host.attempts
 
 
-def test_a_clients_retry_past_the_aim_of_its_first_try_is_turned_away() -> None:
+def test_a_client_retry_past_the_aim_of_its_first_try_is_rejected() -> None:
     host = Host(settings(marks_retries=True, limits=Limits(retry_after=True, max_retry_after_ns=NS_PER_S)))
     first = host.ask("read", "a")
     host.wait(395 * MS)
@@ -276,7 +278,7 @@
     assert host.ask("read", "a") in host.attempts
 
 
-def test_a_retry_without_a_key_is_nobodys_first_try() -> None:
+def test_a_retry_without_a_key_matches_no_first_try() -> None:
     host = Host(settings(marks_retries=True))
     first = host.ask("read", None)
     host.wait(395 * MS)
@@ -284,8 +286,8 @@
     assert host.ask("read", None, retry=True) in host.attempts
 
 
-def crowd(host: Host, rounds: int) -> None:
-    """A server that answers everything too late, round after round."""
+def overload(host: Host, rounds: int) -> None:
+    """Run rounds of requests that a server answers too late."""
     for _ in range(rounds):
         pending = [host.ask("read", f"k{i}") for i in range(4)]
         host.wait(395 * MS)
@@ -293,15 +295,15 @@
             host.end_all(request, Outcome.TIMEOUT)
 
 
-def test_a_server_that_stays_late_rests_between_our_requests() -> None:
+def test_requests_to_a_server_that_stays_late_are_spaced() -> None:
     host = Host(servers=1)
-    crowd(host, 12)
+    overload(host, 12)
     before = len(host.sends())
-    crowd(host, 40)
+    overload(host, 40)
     assert 1 <= len(host.sends()) - before <= 10
 
 
-def test_a_small_share_of_a_crowded_server_grows_back_faster_than_a_big_one() -> None:
+def test_a_small_limit_grows_back_faster_than_a_large_one() -> None:
     small, big = Host(servers=1), Host(servers=1)
     small.balancer.servers["s0"].limiter.limit, big.balancer.servers["s0"].limiter.limit = 1.0, 12.0
     for host, out in ((small, 1), (big, 12)):
@@ -315,7 +317,7 @@
     )
 
 
-def test_the_first_answers_already_tell_what_uncrowded_is() -> None:
+def test_the_first_answers_set_the_uncrowded_latency() -> None:
     host = Host(servers=1)
     for _ in range(16):
         request = host.ask("read", "k")
@@ -323,26 +325,26 @@
         host.end(request)
     limit = host.balancer.servers["s0"].limiter.limit
     request = host.ask("read", "k")
-    host.wait(120 * MS)  # well within the aim, but three times as long as without a crowd
+    host.wait(120 * MS)  # well within the aim, but three times the uncrowded latency
     host.end_all(request, Outcome.OK)
     assert host.balancer.servers["s0"].limiter.limit < limit
 
 
-def test_what_a_class_waits_for_elsewhere_hides_no_crowd() -> None:
+def test_backend_latency_does_not_hide_overload() -> None:
     host = Host(settings(classes=(replace(classes()[0], aim_ns=600 * MS),)), servers=1)
     for i in range(16):
         request = host.ask("read", "k")
-        host.wait((140 + 40 * (i % 2)) * MS)  # 140 ms of it are waits on others
+        host.wait((140 + 40 * (i % 2)) * MS)  # 140 ms of it are calls to backends
         host.end(request)
     limit = host.balancer.servers["s0"].limiter.limit
     request = host.ask("read", "k")
-    host.wait(240 * MS)  # one and a half times the usual in all, but five times the work
+    host.wait(240 * MS)  # 1.5 times the usual latency, but 5 times the work
     host.end_all(request, Outcome.OK)
     assert host.balancer.servers["s0"].limiter.limit < limit
 
 
 def stream(host: Host, seconds: int, gap: int, latency: int) -> list[str]:
-    """A steady stream of requests, answered in turn after half and one and a half times so long."""
+    """Run a steady stream of requests, answered after 0.5 and 1.5 times `latency` in turn."""
     seen = len(host.log)
     running: list[tuple[int, str]] = []
     asked: list[str] = []
@@ -361,26 +363,26 @@
     return asked
 
 
-def served(host: Host, requests: list[str]) -> float:
+def served_share(host: Host, requests: list[str]) -> float:
     return sum(r in host.attempts for r in requests) / len(requests)
 
 
-def test_a_slow_fleet_with_no_more_in_flight_for_its_pace_is_no_crowd() -> None:
+def test_a_fleet_that_is_slow_without_more_in_flight_is_not_overloaded() -> None:
     host = Host(servers=4)
     stream(host, seconds=10, gap=20 * MS, latency=40 * MS)
     asked = stream(host, seconds=8, gap=20 * MS, latency=120 * MS)
-    assert served(host, asked[-100:]) > 0.9
+    assert served_share(host, asked[-100:]) > 0.9
 
 
-def test_a_fleet_that_is_slow_as_more_is_in_flight_is_a_crowd() -> None:
+def test_a_fleet_that_is_slow_with_more_in_flight_is_overloaded() -> None:
     host = Host(servers=4)
     stream(host, seconds=10, gap=20 * MS, latency=40 * MS)
     asked = stream(host, seconds=8, gap=5 * MS, latency=160 * MS)
-    assert served(host, asked[-400:]) < 0.5
+    assert served_share(host, asked[-400:]) < 0.5
 
 
-def assert_leaves_first(host: Host, running: list[str], first: str, second: str) -> None:
-    """When what runs has ended, `first` is sent, and `second` after it if at all."""
+def assert_sent_first(host: Host, running: list[str], first: str, second: str) -> None:
+    """Check that `first` is sent once the running requests end, and `second` only after it."""
     for request in running:
         host.end(request)
     sent = [s.id for s in host.sends()]
@@ -400,27 +402,27 @@
     running = [r for r in running if r in host.attempts and not host.answers(r)]
     loud, meek = host.ask("read", "k", tenant="loud"), host.ask("read", "k", tenant="meek")
     assert meek not in host.attempts
-    assert_leaves_first(host, running, meek, loud)
+    assert_sent_first(host, running, meek, loud)
 
 
-def test_the_same_worth_for_less_work_goes_first() -> None:
-    cheap, dear = classes()[0], replace(classes()[0], name="dear")
-    host = Host(settings(classes=(cheap, dear)), servers=1)
+def test_equal_worth_for_less_work_is_sent_first() -> None:
+    cheap, costly = classes()[0], replace(classes()[0], name="dear")
+    host = Host(settings(classes=(cheap, costly)), servers=1)
     for _ in range(40):
-        for name, took in (("read", 20), ("dear", 160)):
+        for name, latency_ms in (("read", 20), ("dear", 160)):
             request = host.ask(name, "k")
-            host.wait(took * MS)
+            host.wait(latency_ms * MS)
             host.end(request)
     running = [host.ask("read", "k")]
     while running[-1] in host.attempts:
         running.append(host.ask("read", "k"))
-    host.do(ClientGone(running.pop()))  # the server is full, and nothing else waits
+    host.deliver(ClientGone(running.pop()))  # the server is full, and no request is queued
     second, first = host.ask("dear", "k"), host.ask("read", "k")
     assert second not in host.attempts
-    assert_leaves_first(host, running, first, second)
+    assert_sent_first(host, running, first, second)
 
 
-def test_connect_failures_outrank_the_list_however_many() -> None:
+def test_failed_connects_eject_listed_servers_however_many() -> None:
     host = Host(servers=6)
     dead = {"s0", "s1", "s2", "s3", "s4"}
     drive(host, 300, dead, Outcome.CONNECT_FAILED)
@@ -428,7 +430,7 @@
     assert {f"server {s} ejected: no connection" for s in dead} <= set(lines)
 
 
-def test_keys_wait_for_their_own_pair_while_others_have_little_room() -> None:
+def test_keys_wait_for_their_pair_while_others_are_not_half_empty() -> None:
     host = Host(servers=6)
     for name, server in host.balancer.servers.items():
         server.limiter.limit = 4.0
@@ -437,13 +439,13 @@
     pairs = {k: {s.id for s in host.balancer._ranking(k, 0)[:2]} for k in keys}
     full = next(k for k in keys if pairs[k] == {"s0", "s1"})
     request = host.ask("read", full)
-    assert request not in host.attempts  # three of four places taken is not half empty
+    assert request not in host.attempts  # three of four in flight is above half of the limit
     host.balancer.servers["s2"].add_inflight(-2)
     assert host.attempts[host.ask("read", full)] == ["s2"]
 
 
-def test_a_held_request_is_given_up_by_half_of_its_time() -> None:
-    # While servers were full, requests waited until an answer would have come too late.
+def test_a_queued_request_is_rejected_after_half_of_its_time() -> None:
+    # While servers were full, requests stayed queued until an answer would have come too late.
     host = Host(servers=1)
     host.serve(50)
     while host.ask("read", "k", give_up=500 * MS) in host.attempts:
@@ -455,7 +457,7 @@
     assert at - asked <= 250 * MS
 
 
-def test_the_short_life_of_a_late_sent_attempt_does_not_raise_the_limit() -> None:
+def test_a_short_time_out_lowers_the_limit() -> None:
     host = Host(servers=1)
     host.serve(400)
     server = host.balancer.servers["s0"]
@@ -466,7 +468,7 @@
     assert server.limiter.limit < before
 
 
-def test_retries_of_what_may_have_run_stay_within_the_budget() -> None:
+def test_retries_of_attempts_that_may_have_run_stay_within_the_budget() -> None:
     host = Host(servers=12)
     host.serve(100)
     for server in host.balancer.servers.values():
@@ -482,7 +484,7 @@
     assert len(again) == 10
 
 
-def test_a_request_that_most_answers_would_miss_is_refused_at_once() -> None:
+def test_a_request_with_too_little_time_is_rejected_at_once() -> None:
     host = Host()
     for i in range(60):
         request = host.ask("read", f"k{i}")
@@ -492,25 +494,23 @@
     assert host.ask("read", "k", give_up=200 * MS) in host.attempts
 
 
-def test_very_many_balancers_share_out_the_fleet_not_each_server() -> None:
-    host = Host(settings(balancers=24), servers=6)  # half a request a server of the first guess
+def test_very_many_balancers_use_one_limit_for_the_fleet() -> None:
+    host = Host(settings(balancers=24), servers=6)  # the initial limit is half a request per server
     cheap = [host.ask("read", f"k{i}") for i in range(12)]
     assert len(host.sends()) == 3
-    dear = host.ask("book", "another")
-    assert dear not in host.attempts
+    high_worth = host.ask("book", "another")
+    assert high_worth not in host.attempts
     host.wait(10 * MS)
     host.end(cheap[0])
-    assert dear in host.attempts  # whichever server answered
-    out = [host.end(request) for request in (*cheap[1:3], dear)]
+    assert high_worth in host.attempts  # whichever server answered
+    out = [host.end(request) for request in (*cheap[1:3], high_worth)]
     assert any(isinstance(a, Send) for actions in out for a in actions)
 
 
 @pytest.mark.parametrize(
     ("outcome", "after"), [(Outcome.TIMEOUT, 400), (Outcome.ERROR, 10), (Outcome.OK, 390)]
 )
-def test_a_balancer_with_little_traffic_remembers_where_a_request_went_badly(
-    outcome: Outcome, after: int
-) -> None:
+def test_a_balancer_with_little_traffic_avoids_a_server_that_failed(outcome: Outcome, after: int) -> None:
     host = Host(settings(balancers=500), servers=40)
     for i in range(100):
         request = host.ask("book", f"k{i}")
@@ -521,20 +521,22 @@
     server = host.attempts[bad][0]
     host.wait(after * MS)
     host.end(bad, outcome)
-    for _ in range(6):  # by chance it would be met three times in these
+    for _ in range(6):  # by chance the server would be picked three times in these
         host.wait(2 * NS_PER_S)
         request = host.ask("book", "mine")
         assert host.attempts[request] != [server]
         host.end(request)
 
 
-def test_connections_that_are_hardly_used_are_closed() -> None:
+def test_rarely_used_connections_are_closed() -> None:
     busy, quiet = Host(servers=40), Host(settings(balancers=500), servers=40)
     busy.serve(200, gap=20 * MS)
     quiet.serve(50, gap=20 * MS)
     assert not [a for _, a in busy.log if isinstance(a, CloseIdle)]
     closed = [a.server for _, a in quiet.log if isinstance(a, CloseIdle)]
     assert closed == [a.server for a in quiet.sends()]
-    dear = Host(settings(balancers=500, prices=Prices(handshake=0.03, connection=0.0)), servers=40)
-    dear.serve(50, gap=20 * MS)
-    assert not [a for _, a in dear.log if isinstance(a, CloseIdle)]  # a new one costs, to keep one does not
+    costly = Host(settings(balancers=500, prices=Prices(handshake=0.03, connection=0.0)), servers=40)
+    costly.serve(50, gap=20 * MS)
+    assert not [
+        a for _, a in costly.log if isinstance(a, CloseIdle)
+    ]  # a new connection costs, an idle one does not
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -132,7 +132,7 @@
         host.end(passing)
         passing = host.ask(key=f"passing{host.count}")
     host.wait(MS)
-    host.do(AttemptStarted(passing, 0, host.attempts[passing][0]))
+    host.deliver(AttemptStarted(passing, 0, host.attempts[passing][0]))
     assert room.inflight == 0
     host.wait(MS)
     waiting = cut(host, "z1", 60, 10 * MS)
