--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration, which means what the simulator's first message means, and the log."""
+"""The configuration, which has the meaning of the simulator's first message, and the log."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from iristrack.runtime.log_sink import nonblocking_sink
 
 
-def test_nested_settings_read_as_the_flat_ones() -> None:
+def test_nested_settings_mean_the_same_as_flat_ones() -> None:
     nested = {"a": {"b": [1, 2.0, True]}, "c": [{"d": None, "e": "x"}], "f": 0.5, "g": []}
     flat = {"a.b": "1,2,true", "c.count": "1", "c.0.e": "x", "f": "0.5", "g": ""}
     assert flatten(nested) == flat
@@ -24,7 +24,7 @@
     assert settings.limits.cancel and settings.limits.max_attempts == 5
 
 
-def test_the_environment_stands_above_the_file() -> None:
+def test_the_environment_takes_precedence_over_the_file() -> None:
     example = str(ROOT / "examples" / "config.json")
     config = load_config({"NODE_CONFIG": example, "NODE_NAME": "n7", "NODE_LISTEN": "[::1]:9"})
     assert (config.name, config.listen, config.discovery) == ("n7", ("::1", 9), ("127.0.0.1", 8500))
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("text", ["host", ":80", "h:99999", "h:x", "h:-1"])
-def test_an_address_that_cannot_be_read_is_refused(text: str) -> None:
+def test_a_malformed_address_is_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         read_address(text)
 
@@ -51,21 +51,21 @@
         {"known": [1]},
     ],
 )
-def test_a_configuration_that_cannot_be_read_is_one_line(tmp_path: Path, change: dict) -> None:
-    told = json.loads((ROOT / "examples" / "config.json").read_text()) | change
+def test_an_invalid_configuration_raises_an_error_of_one_line(tmp_path: Path, change: dict) -> None:
+    document = json.loads((ROOT / "examples" / "config.json").read_text()) | change
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(document))
     with pytest.raises(ConfigError) as caught:
         load_config({"NODE_CONFIG": str(path)})
     assert "\n" not in str(caught.value)
 
 
-def test_a_log_that_nobody_reads_is_dropped_and_not_waited_for() -> None:
+def test_a_log_without_a_reader_is_dropped_without_blocking() -> None:
     reading, writing = os.pipe()
     write = nonblocking_sink(writing)
     for _ in range(1000):
-        write("x" * 999 + "\n")  # waits for ever from the 65th on, were it to wait
+        write("x" * 999 + "\n")  # a blocking write would wait for ever from the 65th on
     assert os.read(reading, 1000) == b"x" * 999 + b"\n"
     os.close(reading)
-    write("and whom it cannot reach, it lets go\n")
+    write("a line without a reader\n")
     os.close(writing)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: the example of the pages, defaults, and each fault at its place."""
+"""Settings of a process: the documented example, defaults, and each error at its place."""
 
 import json
 from pathlib import Path
@@ -68,12 +68,12 @@
 
 def places_of(document: Any) -> list[str]:
     result = read_settings(json.dumps(document).encode())
-    assert result.is_error(), "no fault was found"
+    assert result.is_error(), "no error was found"
     assert all(finding.problem and finding.remedy for finding in result.error)
     return [finding.place for finding in result.error]
 
 
-def test_whole_settings_are_built() -> None:
+def test_complete_settings_are_built() -> None:
     assert accepted(sample_settings()) == Settings(
         node_name="edge-hall-1",
         role="proxy",
@@ -107,7 +107,7 @@
     assert settings.data_dir == "/data/core"
 
 
-def test_defaults_stand_for_what_is_missing() -> None:
+def test_missing_fields_get_their_defaults() -> None:
     settings = accepted(MINIMAL)
     assert settings.rule_bounds == RuleBounds()
     assert settings.rule_bounds.drain_ms == 3000
@@ -166,15 +166,15 @@
 @pytest.mark.parametrize(("place", "steps", "value"), WRONG_VALUES)
 def test_each_wrong_value_is_found_at_its_place(place: str, steps: tuple[Any, ...], value: Any) -> None:
     document = sample_settings()
-    holder: Any = document
+    container: Any = document
     for step in steps[:-1]:
-        holder = holder[step]
-    holder[steps[-1]] = value
+        container = container[step]
+    container[steps[-1]] = value
     assert places_of(document) == [place]
 
 
 @pytest.mark.parametrize("field", MINIMAL)
-def test_each_required_field_is_missed(field: str) -> None:
+def test_each_missing_required_field_is_found(field: str) -> None:
     document = sample_settings()
     del document[field]
     assert places_of(document) == [field]
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"\xff\xfe\xfd", b"[" * 100_000])
-def test_what_is_no_json_object_is_refused(body: bytes) -> None:
+def test_anything_but_a_json_object_is_rejected(body: bytes) -> None:
     assert [finding.place for finding in read_settings(body).error] == ["document"]
 
 
@@ -215,12 +215,12 @@
 
 
 @given(host=st.ip_addresses(v=4).map(str), port=st.integers(1, 65535))
-def test_address_reads_back_what_it_writes(host: str, port: int) -> None:
+def test_an_address_parses_to_what_was_formatted(host: str, port: int) -> None:
     assert parse_address(str(Address(host, port))) == Address(host, port)
 
 
 @pytest.mark.parametrize("text", ["", ":", "host", "host:", ":80", "host:x", "host:-1", "host:0", "host:٣"])
-def test_what_is_no_address_is_refused(text: str) -> None:
+def test_a_malformed_address_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match=r"HOST:PORT|no port"):
         parse_address(text)
 
@@ -229,14 +229,14 @@
     ("version_ms", "fleet_ms", "expected"),
     [(8_000, 0, 8_000), (15_000, 21_000, 15_000), (15_000, 9_000, 9_000)],
 )
-def test_the_shorter_bound_of_older_weights_counts(
+def test_the_shorter_bound_of_older_weights_applies(
     version_ms: float, fleet_ms: float, expected: float
 ) -> None:
     assert RuleBounds(version_ms=version_ms, version_fleet_ms=fleet_ms).older_weights_ms == expected
 
 
 def optional_places(document: dict[str, Any], within: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    """All fields that may be missing, by the names that lead to them."""
+    """Return the paths of all optional fields."""
     found = []
     for name, value in document.items():
         place = (*within, name)
@@ -249,18 +249,16 @@
 
 @pytest.mark.parametrize("empty", [None, ""])
 @pytest.mark.parametrize("place", optional_places(sample_settings()))
-def test_an_empty_field_counts_as_missing_and_ends_no_start(
-    place: tuple[str, ...], empty: str | None
-) -> None:
-    """A process that refused such a file ended at each start, on every machine."""
-    told, missing = sample_settings(), sample_settings()
-    for document in (told, missing):
-        holder: Any = document
+def test_an_empty_field_counts_as_missing(place: tuple[str, ...], empty: str | None) -> None:
+    """A process that rejects such a file exits at every start, on every machine."""
+    emptied, missing = sample_settings(), sample_settings()
+    for document in (emptied, missing):
+        container: Any = document
         for step in place[:-1]:
-            holder = holder[step]
-        if document is told:
-            holder[place[-1]] = empty
+            container = container[step]
+        if document is emptied:
+            container[place[-1]] = empty
         else:
-            del holder[place[-1]]
-    assert read_settings(json.dumps(told).encode()) == read_settings(json.dumps(missing).encode())
-    assert not read_settings(json.dumps(told).encode()).is_error()
+            del container[place[-1]]
+    assert read_settings(json.dumps(emptied).encode()) == read_settings(json.dumps(missing).encode())
+    assert not read_settings(json.dumps(emptied).encode()).is_error()
