--- a/iristrack/balance.py
+++ b/iristrack/balance.py
@@ -55,9 +55,9 @@
 TRIALS_AFTER_ERRORS = 3  # successful trials that end an ejection for errors
 MIN_OVERDUE_SHARE = 0.02  # lower bound of the estimated share of overdue attempts
 MIN_LOST_SHARE = 0.01  # lower bound of the estimated share of attempts without any answer
-LOSSY = 0.03  # share of lost attempts from which on overdue attempts are retried in time
+LOSSY_SHARE = 0.03  # share of lost attempts from which on overdue attempts are retried in time
 LOSS_RATIO = 1.5  # margin on the wait after which loss explains it better than an exponential latency
-MAX_EJECTED_SHARE = 0.5  # of the ready servers, ejected on suspicion
+MAX_EJECTED = 0.5  # share of the ready servers that may be ejected on suspicion
 MAX_BACKOFF_NS = 8 * mi.NS_PER_S
 MIN_WARM_SHARE = 0.25  # share of the servers in use that must be warm to learn a warm server's rate
 MAX_IDLE_GAP_NS = mi.NS_PER_S // 2  # idle connections that are used less often than this are closed
@@ -94,7 +94,7 @@
         # With very many balancers, each has less than one request at a server and cannot learn that server's
         # limit in time. One limit for all servers together can be learned from all answers.
         self.shared = ConcurrencyLimiter(1.0) if self.start_limit < 1 else None
-        # Idle connections from many balancers load the servers, unless a new connection costs more.
+        # Idle connections from many balancers burden the servers; kept only if a new connection costs more.
         costly_handshake = 100 * settings.prices.handshake > settings.prices.connection * settings.balancers
         self.closes_idle = self.shared is not None and not costly_handshake
         self.servers: dict[str, _Server] = {}
@@ -104,9 +104,9 @@
         self.key_count_sum = 0
         self.requests: dict[str, _Open] = {}
         self.queued: dict[str, _Open] = {}
-        self.sequence = 0
-        self.penalties: deque[tuple[int, _Server]] = deque()
-        self.recent_failures: dict[tuple, int] = {}  # first ask times, to match client retries
+        self.sequence = 0  # orders queued requests of equal worth
+        self.penalties: deque[tuple[int, _Server]] = deque()  # (expiry, server)
+        self.recent_failures: dict[tuple, int] = {}  # times of first tries, to match client retries
         self.retries = MAX_RETRY_TOKENS
         self.overdue_share = MIN_OVERDUE_SHARE
         self.lost_share = MIN_LOST_SHARE
@@ -134,9 +134,7 @@
             mi.TimerFired: self._on_timer,
         }
 
-        self.known_servers = (
-            learned["servers"] if learned else {}
-        )  # from the snapshot, until a full list arrives
+        self.known_servers = learned["servers"] if learned else {}  # until a full list arrives
         if learned:
             self.__dict__.update(learned["balancer"])
             self.tenant_counts |= learned["tenants"]
@@ -157,7 +155,7 @@
         }
 
     def ejected_server_count(self) -> int:
-        """Return how many ready servers are ejected for all classes and get trials only."""
+        """Return how many ready servers are ejected for all classes, so that they get trials only."""
         return sum(1 for s in self.ready if all(s.ejections(name) for name in self.classes))
 
     def handle(self, now: int, event: mi.Event) -> list[mi.Action]:
@@ -270,8 +268,8 @@
             if self._has_capacity(now, server):
                 # Ties go to the first server, which served the key last. With many balancers nearly all counts
                 # are zero and one server would get all requests of a key, so ties are random there, by weight.
-                chance = self.random.random() ** (1 / server.weight) if self.shared else 0.0
-                load = server.inflight / server.weight, -chance
+                tie_break = self.random.random() ** (1 / server.weight) if self.shared else 0.0
+                load = server.inflight / server.weight, -tie_break
                 if best is None or load < least:
                     best, least = server, load
             if seen >= 2 and best is not None:
@@ -310,11 +308,11 @@
         return server.budget.allows(now, rate * server.weight, server.started, contract, self.cold_factor)
 
     def _is_limited(self, now: int, server: _Server) -> bool:
-        """With a shared limit, only warm servers in use count: cold ones have budgets, ejected ones show no load."""
+        """Return whether requests count against the limit; a shared one is not for cold or ejected servers."""
         return self.shared is None or (now >= server.warm_at and not server.ejected)
 
     def _may_send(self, now: int, request: _Open, server: _Server, again: bool = False) -> bool:
-        """Check rule 2 against the earlier attempts; the same server may get it twice only with `again`."""
+        """Return whether rule 2 allows this server after the earlier attempts; the same one only with `again`."""
         spec = request.cls.spec
         for attempt in request.attempts:
             if attempt.server is server and not again:
@@ -454,7 +452,11 @@
         """
         cls, left = request.cls, max(1, request.useful_until - now)
         again = cls.spec.repeat is not mi.Repeat.UNSAFE and self.retries >= 1 and not self.queued
-        if self.lost_share < LOSSY or not again or len(request.attempts) >= self.settings.limits.max_attempts:
+        if (
+            self.lost_share < LOSSY_SHARE
+            or not again
+            or len(request.attempts) >= self.settings.limits.max_attempts
+        ):
             return left
         timeout = int(LOSS_RATIO * cls.mean * math.log(2 / self.lost_share))
         return timeout if timeout + cls.mean + cls.dev < left else left
@@ -611,8 +613,8 @@
         """Count an ended attempt as in flight for a while longer.
 
         Otherwise a server that fails fast would have the lowest count and attract its keys, and a server that
-        goes on with abandoned work would be overloaded. With many balancers the penalty lasts until the
-        balancer would send to the server again, and does not count against the shared limit.
+        goes on with abandoned work would be overloaded. With many balancers the penalty lasts at least
+        until this one would send to the server again, and does not count against the shared limit.
         """
         span = self.longest_aim if self.shared is None else max(self.longest_aim, self._mean_send_gap(now))
         server.add_inflight(1, self.shared is None)
@@ -692,15 +694,15 @@
             ejection.backoff_ns = min(MAX_BACKOFF_NS, ejection.backoff_ns * 2)
         else:
             name = next((n for n, s in server.class_ejections.items() if s is ejection), "")
-            zone_ejection = server.zone_state.ejection
-            ejected = sum(
+            zone_wide = server.zone_state.ejection
+            count = sum(
                 1
                 for s in self.ready
                 if s.ejections(name) and not (s.unreachable or s.zone_state.ejection.ejected)
             )
-            if not (
-                server.unreachable or ejection is zone_ejection
-            ) and ejected + 1 > MAX_EJECTED_SHARE * len(self.ready):
+            if not (server.unreachable or ejection is zone_wide) and count + 1 > MAX_EJECTED * len(
+                self.ready
+            ):
                 return
             ejection.ejected = True
             if self.shared is not None and server.ejected:
@@ -726,7 +728,7 @@
         for cls in self.classes.values():
             self._check_overdue(now, cls)
         for request in sorted(self.queued.values(), key=lambda r: -r.value):
-            # After half of the client's time a rejection costs it more than an early one.
+            # A rejection after half of the client's time costs the client more than an earlier one.
             if self._is_too_late(now, request) or now + self.tick_ns > request.decide_by:
                 self._answer_unserved(now, request)
             else:
--- a/iristrack/records.py
+++ b/iristrack/records.py
@@ -66,7 +66,7 @@
         self.limiter = limiter
         self.ready = False
         self.inflight = 0  # our attempts in flight, and failed ones that still count
-        self.started = -1  # differs from any entry's value, so that reset() follows
+        self.started = -1  # no entry's value, so that the first list entry resets the server
 
     def add_inflight(self, count: int, counted: bool = True) -> None:
         """Add to the attempts in flight, and to the limiter's if `counted`."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -37,18 +37,16 @@
         with_reports(LoadEstimate(6, NS_PER_S), 0, 200 * MS, **steady),
     )
     assert alone.others_inflight_at(0) == pytest.approx(6, abs=0.2)
-    assert among.others_inflight_at(0) == pytest.approx(
-        4, abs=0.3
-    )  # ten answers per second with a latency of 0.2 s: two in flight
+    # Ten answers per second with a latency of 0.2 s: two of the six in flight are our own.
+    assert among.others_inflight_at(0) == pytest.approx(4, abs=0.3)
     assert among.full(0, 3) and not among.full(0, 1)
 
 
 def test_many_answers_with_one_report_count_no_more_than_one() -> None:
     estimate = with_reports(LoadEstimate(6, NS_PER_S), 0, queue=0.0, latency_ms=25.0)
     for i in range(100):
-        estimate.record_report(
-            i * MS // 10, REPORT | {"latency_ms": 900.0}, 0
-        )  # a heavy request has just ended there
+        # A heavy request has just ended there.
+        estimate.record_report(i * MS // 10, REPORT | {"latency_ms": 900.0}, 0)
     assert estimate.others_inflight_at(10 * MS) < 1.5
 
 
@@ -76,9 +74,8 @@
     assert estimate.others_inflight <= MAX_REPORTED
     assert not estimate.full(0, 0) and estimate.full(0, 1)
     assert estimate.full(REPORT_VALID_NS, 1)
-    assert not estimate.full(
-        REPORT_VALID_NS + REPORT_FADE_NS, 3
-    )  # neither its load nor its queue counts any more
+    # Neither its load nor its queue counts any more.
+    assert not estimate.full(REPORT_VALID_NS + REPORT_FADE_NS, 3)
     after = 10 * NS_PER_S
     with_reports(estimate, after, queue=0.0, latency_ms=10.0)  # a true report counts at once again
     assert not estimate.full(after, 4)
@@ -88,9 +85,8 @@
     slow = with_reports(LoadEstimate(6, NS_PER_S // 4), 0, qps=4.0, latency_ms=400.0, queue=0.0)
     fast = with_reports(LoadEstimate(6, NS_PER_S // 4), 0, qps=40.0, latency_ms=40.0, queue=0.0)
     assert slow.bound < 2 < 5 < fast.bound
-    fast.record_report(
-        MS, REPORT | {"latency_ms": 400.0, "queue": 0.0}, MS
-    )  # one heavy answer does not lower the bound
+    # One heavy answer does not lower the bound.
+    fast.record_report(MS, REPORT | {"latency_ms": 400.0, "queue": 0.0}, MS)
     assert fast.bound > 5
 
 
@@ -173,7 +169,7 @@
     sends = flood([ColdBudget(i / number) for i in range(number)], share, many=True, fast=True)
     for start in range(0, 7 * NS_PER_S, NS_PER_S // 4):
         arrived = sum(start <= at < start + NS_PER_S for at in sends)
-        # The contract allows for chance: N + 3 * sqrt(N) + 3.
+        # The operators' page allows for chance: N + 3 * sqrt(N) + 3.
         granted = CONTRACT.overload_factor * capacity(share, start)
         assert arrived <= granted + 3 * granted**0.5 + 3
 
@@ -183,7 +179,7 @@
 ) -> float:
     """Let all sidecars send for a second, none for six, then all again; `restarted`: half of them restart before.
 
-    Return the sends of the worst window beyond the contract's N, relative to the allowance 2 * sqrt(N) + 2.
+    Return the worst window's sends beyond the contract's N, relative to the allowance for chance, 2 * sqrt(N) + 2.
     """
     rng = random.Random(number)
     busy = max(1, number // 10) if uneven else 0  # a tenth of the sidecars has two thirds of the load
@@ -367,8 +363,8 @@
         assert server.budget.answers == 0 and server.load_estimate.reported_at is None
 
 
-def test_sidecars_that_see_little_keep_off_a_server_that_tells_of_a_crowd() -> None:
-    """Without the reports this one would send all three: its own limit there is three at the least."""
+def test_reports_of_a_high_load_hold_back_a_sidecar_with_little_traffic() -> None:
+    """Without the reports it would send all three requests, as its own limit there is at least three."""
     host = Host(settings(report_fields=("eps", "latency_ms", "qps", "queue")), servers=1)
     for _ in range(300):
         request = host.ask()
@@ -391,7 +387,7 @@
             outcome = Outcome.REJECTED if server == "s0" else Outcome.OK
             host.deliver(AttemptEnded(request, number, server, outcome, outcome is Outcome.OK, MS, report))
         host.wait(20 * MS)
-    refusing, other = host.balancer.servers["s0"], host.balancer.servers["s1"]
-    assert refusing.load_estimate.others_inflight < 1 and refusing.limiter.limit < other.limiter.limit
+    rejecting, other = host.balancer.servers["s0"], host.balancer.servers["s1"]
+    assert rejecting.load_estimate.others_inflight < 1 and rejecting.limiter.limit < other.limiter.limit
     late = [host.attempts[host.ask(key=f"late{i}")][0] for i in range(2)]
     assert late == ["s1", "s1"]  # ejected, so that it gets trials only
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -60,9 +60,9 @@
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 9), st.booleans()), max_size=200))
 def test_one_zone_always_stays_and_the_table_is_bounded(events: list) -> None:
     zones = ZoneOutages()
-    for now, (name, server, heard) in enumerate(events):
+    for now, (name, server, answered) in enumerate(events):
         zone = zones.state_of(name)
-        if heard:
+        if answered:
             zones.record_answer(now, zone)
             zone.ejection.ejected = False  # as the balancer does after a successful trial
         elif zones.record_overdue(f"{name}{server}", now - 1, zone):
@@ -102,9 +102,8 @@
 
 def test_a_zone_outage_is_detected_after_a_few_requests_and_frees_the_limit(host: Host) -> None:
     waiting = run_with_silent_zone(host, "z1", 60, 10 * MS)
-    assert (
-        len(zone_ejections(host)) == 1 and len(waiting) < 12
-    )  # ejecting eight servers one by one would take three each
+    # Ejecting the eight servers one by one would take three requests each.
+    assert len(zone_ejections(host)) == 1 and len(waiting) < 12
     limiter = host.balancer.shared
     assert limiter.inflight == sum(host.balancer.requests[r].attempts[-1].counted for r in waiting)
     assert limiter.inflight <= 1
