--- a/iristrack/settings.py
+++ b/iristrack/settings.py
@@ -60,7 +60,7 @@
 
     Attributes:
         cpu_fraction: Share of one core.
-        cores: Speed of that share, in cores.
+        cores: Speed of that share relative to one core.
         memory_mb: Memory above which the process is killed, in megabytes.
         max_fds: File descriptors.
         link_mbps: Bandwidth of the machine's link, in megabits per second.
