--- a/iristrack/recovery/pack.py
+++ b/iristrack/recovery/pack.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 Record = tuple[str, Any]
-WHOLE_PARTS = ("balancer", "tenants", "popular")
+SINGLE_RECORD_KINDS = ("balancer", "tenants", "popular")
 MAX_KEYS = 512
 
 
@@ -51,7 +51,7 @@
         try:
             if kind == "meta":
                 meta = {"at": int(body["at"]), "name": str(body["name"]), "writer": str(body["writer"])}
-            elif kind in WHOLE_PARTS:
+            elif kind in SINGLE_RECORD_KINDS:
                 snapshot[kind] = dict(body)
             elif kind in ("class", "server"):
                 name, values = body
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -203,7 +203,7 @@
     assert not [a for _, a in host.log if isinstance(a, Log) and "ejected" in a.text]
 
 
-def test_retries_do_not_become_a_retry_storm() -> None:
+def test_retries_stay_few_when_all_servers_fail() -> None:
     host = Host(servers=12)
     drive(host, 400, {f"s{i}" for i in range(12)}, Outcome.ERROR)
     first_tries = len({s.id for s in host.sends()})
