--- a/iristrack/admission/__init__.py
+++ b/iristrack/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What may be sent, repeated or refused: budgets and room. No I/O."""
+"""Admission control: budgets that limit what may be sent and retried. No I/O."""
--- a/iristrack/admission/retry_budget.py
+++ b/iristrack/admission/retry_budget.py
@@ -1,43 +1,43 @@
 """The share of the fleet's retry budget that one sidecar may spend.
 
-All sidecars together may send a service `ratio` x its requests + `slack` repeats in each sliding window. A bucket that
-holds `slack` / sidecars and earns `ratio` with each request keeps every window of this sidecar within its share. Where
-that is less than one repeat, none is ever sent.
-
-A process that begins anew does not know what the one before it has spent in the window, so it begins with half of its
-share. If all sidecars are restarted within one window, they spend 1.5 x `SAFETY` = 1.2 times the slack at most beside
-what they earn, and the fifth that is over is covered by the part of `ratio` that is never spent, once the window has
-slack / ratio requests (260 to 1,000 by the deployments' sheets).
+All sidecars together may send a service `ratio` x its requests + `slack` retries in each sliding window. A token bucket
+with capacity `slack` / sidecars that earns `ratio` tokens per request keeps every window of this sidecar within its
+share. If the capacity is below one token, no retry is ever sent.
+
+A restarted process does not know what its predecessor has spent in the window, so it starts with half of its share. If
+all sidecars restart within one window, they spend at most 1.5 x `SAFETY_FACTOR` = 1.2 times the slack besides what they
+earn. The excess of 0.2 is covered by the part of `ratio` that is never spent, provided that the window has at least
+slack / ratio requests (260 to 1,000 in the specified deployments).
 """
 
 from __future__ import annotations
 
-SAFETY = 0.8  # of the budget; the rest is for what two sidecars count differently
-FIRST_SHARE = 0.5  # of a sidecar's share, that a process begins with
+SAFETY_FACTOR = 0.8  # of the budget; the rest covers requests that sidecars count differently
+INITIAL_SHARE = 0.5  # of a sidecar's share, available when its process starts
 
 
 class RetryBudget:
-    """Tokens of one service at one sidecar."""
+    """Token bucket for the retries of one service at one sidecar."""
 
     def __init__(self, ratio: float, slack: float, sidecars: int) -> None:
-        """Starts with `FIRST_SHARE` of what it may hold; `sidecars` share the slack."""
-        self.ratio = ratio * SAFETY
-        self.slack = slack * SAFETY
+        """Start with `INITIAL_SHARE` of the capacity; `sidecars` share the slack equally."""
+        self.ratio = ratio * SAFETY_FACTOR
+        self.slack = slack * SAFETY_FACTOR
         self.capacity = 0.0
-        self.tokens = FIRST_SHARE * self.slack / max(1, sidecars)
+        self.tokens = INITIAL_SHARE * self.slack / max(1, sidecars)
         self.set_sidecars(sidecars)
 
     def set_sidecars(self, sidecars: int) -> None:
-        """Follow the number of sidecars that spend."""
+        """Set the number of sidecars that share the slack."""
         self.capacity = self.slack / max(1, sidecars)
         self.tokens = min(self.tokens, self.capacity)
 
     def earn(self) -> None:
-        """A request was sent for the first time."""
+        """Add the tokens for a request that was sent for the first time."""
         self.tokens = min(self.capacity, self.tokens + self.ratio)
 
     def spend(self) -> bool:
-        """May one more repeat be sent now?"""
+        """Spend a token on a retry; return False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/iristrack/duties/__init__.py
+++ b/iristrack/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one process holds at a time: vacancy, claims by ballots at the register, leases. No I/O."""
+"""Leases on duties, each held by one process at a time and claimed by ballots at the register. No I/O."""
--- a/iristrack/engines/__init__.py
+++ b/iristrack/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Model servers' reports, and how new weights are brought to them. No I/O."""
+"""Model servers: their reports, upgrades to new weights, and roll-outs of new software. No I/O."""
--- a/iristrack/engines/named_weights.py
+++ b/iristrack/engines/named_weights.py
@@ -1,8 +1,8 @@
-"""When each revision of the models' weights was named, as far as one process knows. No I/O; times are ns.
+"""When each revision of the models' weights was named by an operator, as known to one process. No I/O; times are ns.
 
-A process hears that a revision was named some time after it was, and of several at once where it was away. So each
-revision has a moment of its own, the earliest that anybody has told, and a later revision changes nothing about it.
-Core members tell how long ago each was named, in durations: the time of day of two machines may differ.
+A process learns some time later that a revision was named, and of several at once if it was disconnected. So each
+revision has its own time, the earliest that was reported, and a later revision does not change it. Core members report
+how long ago each revision was named, as a duration, since the clocks of two machines may differ.
 """
 
 from __future__ import annotations
@@ -14,28 +14,30 @@
 
 NS_PER_MS = 1_000_000
 MAX_MODELS = 256
-LOOK_AGAIN_NS = 1000 * NS_PER_MS  # the least time in which no newer revision can end the allowance
-EARLIER_NS = 250 * NS_PER_MS  # by so much two processes may differ that were told over a slow link
-MOST_REVISIONS = 8  # of one model; of more, the two lowest are taken as one, named when the first of them was
+RECHECK_NS = (
+    1000 * NS_PER_MS
+)  # least time granted on the newest revision until the next check for a newer one
+CLOCK_TOLERANCE_NS = 250 * NS_PER_MS  # difference between two processes that learned it over a slow link
+MAX_REVISIONS = 8  # of one model; beyond it the two lowest are merged and keep the time of the first
 
 
 @dataclass(frozen=True, slots=True)
 class NamedRevision:
-    """A revision, and the latest moment at which it can have been named (ns of this process's clock)."""
+    """A revision, and the latest time at which it can have been named (ns of this process's clock)."""
 
     revision: int
     named_at: int
 
 
 class NamedWeights:
-    """The revisions that were named, by model."""
+    """The named revisions of each model."""
 
     def __init__(self) -> None:
-        """Nothing was named."""
-        self._named: dict[str, tuple[NamedRevision, ...]] = {}  # revisions and moments both rise
+        """Start without any named revision."""
+        self._named: dict[str, tuple[NamedRevision, ...]] = {}  # ascending by revision and by time
 
     def learn(self, model: str, revision: int, named_at: int) -> bool:
-        """Learn that a revision was named by then; whether it is the newest of its model."""
+        """Record that a revision had been named by `named_at`; return whether it is new and the newest of its model."""
         known = self._named.get(model, ())
         if not known and len(self._named) >= MAX_MODELS:
             return False
@@ -47,21 +49,21 @@
         return not higher and not earlier
 
     def learn_ages(self, ages: Iterable[NamedAge], now: int) -> None:
-        """Learn what a core member has told just now."""
+        """Record the ages that a core member has just reported."""
         for age in ages:
             self.learn(age.model, age.revision, now - age.age_ms * NS_PER_MS)
 
     def knows_earlier(self, ages: Iterable[NamedAge], now: int) -> bool:
-        """Does this process know of a revision that was named earlier than was told just now, or was not told?"""
-        told = {(age.model, age.revision): now - age.age_ms * NS_PER_MS for age in ages}
+        """Return whether this process knows an earlier time, or a revision that is missing, compared with a report."""
+        reported = {(age.model, age.revision): now - age.age_ms * NS_PER_MS for age in ages}
         return any(
-            n.named_at + EARLIER_NS < told.get((model, n.revision), now)
+            n.named_at + CLOCK_TOLERANCE_NS < reported.get((model, n.revision), now)
             for model, named in self._named.items()
             for n in named
         )
 
     def ages(self, now: int) -> tuple[NamedAge, ...]:
-        """How long ago each revision was named."""
+        """Return how long ago each revision was named."""
         return tuple(
             NamedAge(model, n.revision, -((n.named_at - now) // NS_PER_MS))
             for model, named in self._named.items()
@@ -69,30 +71,30 @@
         )
 
     def newest(self, model: str) -> int:
-        """The newest revision; 0 where none was named."""
+        """Return the newest revision, or 0 if none was named."""
         known = self._named.get(model)
         return known[-1].revision if known else 0
 
     def superseded_at(self, model: str, revision: int) -> int | None:
-        """When the first revision above this one was named; None where there is none."""
+        """Return when the first revision above this one was named, or None."""
         return next((n.named_at for n in self._named.get(model, ()) if n.revision > revision), None)
 
     def required(self, model: str, now: int, allowance_ns: int) -> int:
-        """The newest revision that was named at least `allowance_ns` ago, below which nothing may begin; 0: none."""
-        # Each revision has an allowance of its own: naming a later one gives those before it no new time.
-        over = [n.revision for n in self._named.get(model, ()) if now - n.named_at >= allowance_ns]
-        return max(over, default=0)
+        """Return the lowest revision on which work may still begin: the newest one named `allowance_ns` ago, or 0."""
+        # Each revision has its own allowance: naming a later one does not extend that of earlier ones.
+        expired = [n.revision for n in self._named.get(model, ()) if now - n.named_at >= allowance_ns]
+        return max(expired, default=0)
 
     def begin_by(self, model: str, revision: int, now: int, allowance_ns: int) -> int:
-        """Until when work may begin on a revision, as far as is known now; always later than now for the newest."""
+        """Return until when work may begin on a revision, as known now; later than now for the newest one."""
         superseded_at = self.superseded_at(model, revision)
         if superseded_at is None:
-            return now + max(allowance_ns, LOOK_AGAIN_NS)
+            return now + max(allowance_ns, RECHECK_NS)
         return superseded_at + allowance_ns
 
 
 def _bounded(named: list[NamedRevision]) -> tuple[NamedRevision, ...]:
-    while len(named) > MOST_REVISIONS:
+    while len(named) > MAX_REVISIONS:
         first, second, *rest = named
         named = [NamedRevision(second.revision, first.named_at), *rest]
     return tuple(named)
--- a/iristrack/engines/reports.py
+++ b/iristrack/engines/reports.py
@@ -1,4 +1,4 @@
-"""The answer of `GET /report`."""
+"""Parsing of the answer of `GET /report`."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class MalformedReport(ValueError):
-    """A report that cannot be read."""
+    """The report cannot be parsed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """The state of a server some hundred milliseconds ago."""
+    """The state of a server as of some hundred milliseconds ago."""
 
     revisions: dict[str, int]
-    busy: bool  # an order is under way
-    call_count: int  # orders taken
+    busy: bool  # an order is in progress
+    call_count: int  # orders accepted
     active: int
     queued: int
 
 
 def read_report(body: bytes) -> Report:
-    """Read a report; raises `MalformedReport`."""
+    """Parse a report. Raises `MalformedReport`."""
     try:
         document = json.loads(body)
         return Report(
@@ -32,5 +32,5 @@
             active=int(document.get("active", 0)),
             queued=int(document.get("queued", 0)),
         )
-    except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as fault:
-        raise MalformedReport(f"{type(fault).__name__}: {fault}") from fault
+    except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
+        raise MalformedReport(f"{type(error).__name__}: {error}") from error
--- a/iristrack/placement/__init__.py
+++ b/iristrack/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which server gets a request: ranking by hash, own requests in flight, ready lists. No I/O."""
+"""Choice of the server for a request: ranking by hash, load in requests in flight, lists of ready servers. No I/O."""
--- a/iristrack/placement/engines.py
+++ b/iristrack/placement/engines.py
@@ -1,4 +1,4 @@
-"""Model servers: which hold the request's model, under which revision, and under which salt prompts are kept there."""
+"""Model servers: which ones have a request's model and revision, and the cache salt of its prompts."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 def cache_salt(model: str, revision: int, isolated_tenant: str | None) -> str:
-    """The text under which a server keeps and finds prompt parts.
+    """Return the salt under which a server stores and looks up prompt parts.
 
-    It names the model and the revision of the weights that made the parts, so that no part outlives its weights, and
-    the tenant where that is isolated, so that no other tenant's request finds them. The length of the model's name
-    tells where it ends, whatever characters it holds.
+    It contains the model and the revision of its weights, so a part is never used with other weights, and the tenant
+    if that is isolated, so other tenants' requests never match. The length of the model's name marks its end, whatever
+    characters the name contains.
     """
-    wall = "" if isolated_tenant is None else f"/{isolated_tenant}"
-    return f"{len(model)}:{model}.{revision}{wall}"
+    tenant_suffix = "" if isolated_tenant is None else f"/{isolated_tenant}"
+    return f"{len(model)}:{model}.{revision}{tenant_suffix}"
 
 
 def servers_with_model(servers: Iterable[Server], model: str, min_revision: int) -> list[Server]:
-    """The servers that hold the model with weights of that revision or a newer one."""
+    """Return the servers that have the model with weights of at least that revision."""
     return [server for server in servers if server.revisions.get(model, 0) >= max(1, min_revision)]
 
 
 def store_for_key(key: str, stores: Sequence[str]) -> str | None:
-    """The store that keeps what a key names, by rank of hash, so that several stores share the keys."""
+    """Return the store for a key by rendezvous hashing, which spreads keys over several stores; None without one."""
     if not stores:
         return None
     seed = hash64(key)
--- a/iristrack/placement/loads.py
+++ b/iristrack/placement/loads.py
@@ -1,8 +1,8 @@
-"""What sidecars have under way at servers, summed over those that told of it.
+"""Load that sidecars have in flight at servers, summed over the senders that report it.
 
-A report is whole or partial. A partial one names what changed since the last report, a server with nothing under
-way among it; it is of use only right behind that report. The sum is kept as reports come, so that its cost follows
-what changes and not how many senders and servers there are.
+A report is full or partial. A partial report lists what changed since the previous report, including servers that
+became idle, and can be applied only directly after that report. The total is updated with each report, so the work
+depends on the number of changes and not on the number of senders and servers.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from iristrack.wire.messages import ServerLoad, ServerLoads
 
 NS_PER_MS = 1_000_000
-EXPIRY_NS = 1000 * NS_PER_MS  # a sender that says nothing for so long counts for nothing
-REPEAT_NS = 400 * NS_PER_MS  # between two reports where nothing has changed
-WHOLE_NS = 2000 * NS_PER_MS  # between two whole reports
-MOST_SENDERS = 512
-FIRST_INTERVAL_NS = 20 * NS_PER_MS  # between two reports of a small fleet
-SIDECARS_PER_INTERVAL = 12  # so many more sidecars add the first interval once more
-LONGEST_INTERVAL_NS = 500 * NS_PER_MS
+EXPIRY_NS = 1000 * NS_PER_MS  # the load of a sender is dropped after this long without a report
+KEEPALIVE_INTERVAL_NS = 400 * NS_PER_MS  # between two reports if nothing has changed
+FULL_REPORT_INTERVAL_NS = 2000 * NS_PER_MS
+MAX_SENDERS = 512
+BASE_INTERVAL_NS = 20 * NS_PER_MS  # between two reports in a small fleet
+SIDECARS_PER_INTERVAL = 12  # the base interval is added once more for each group of this many sidecars
+MAX_INTERVAL_NS = 500 * NS_PER_MS
 
 
 def report_interval(sidecars: int) -> int:
-    """Nanoseconds between two reports: rarer as the fleet grows, so that a sidecar's work for them does not grow."""
-    return min(LONGEST_INTERVAL_NS, FIRST_INTERVAL_NS * (1 + sidecars // SIDECARS_PER_INTERVAL))
+    """Return the ns between two reports; it grows with the fleet, which keeps each sidecar's work constant."""
+    return min(MAX_INTERVAL_NS, BASE_INTERVAL_NS * (1 + sidecars // SIDECARS_PER_INTERVAL))
 
 
 def add_loads(first: ServerLoad, second: ServerLoad) -> ServerLoad:
-    """What two senders have at one server."""
+    """Return the sum of two senders' loads at one server."""
     return ServerLoad(
         first.instance,
         first.requests + second.requests,
@@ -39,7 +39,7 @@
 
 
 def subtract_loads(total: ServerLoad, part: ServerLoad) -> ServerLoad:
-    """What is left of a sum without one of its senders; nothing falls below zero."""
+    """Return the total without one sender's load; no count goes below zero."""
     return ServerLoad(
         total.instance,
         max(0, total.requests - part.requests),
@@ -50,12 +50,12 @@
 
 
 def is_idle(load: ServerLoad) -> bool:
-    """Does it say that there is nothing?"""
+    """Return whether all counts are zero."""
     return not (load.requests or load.pieces or load.answered or load.failed)
 
 
 def by_instance(loads: Iterable[ServerLoad]) -> dict[str, ServerLoad]:
-    """Loads by their servers; those that stand several times are added up."""
+    """Return the loads by instance; several loads of one instance are added up."""
     table: dict[str, ServerLoad] = {}
     for load in loads:
         known = table.get(load.instance)
@@ -64,14 +64,14 @@
 
 
 def changes_between(before: dict[str, ServerLoad], after: dict[str, ServerLoad]) -> list[ServerLoad]:
-    """What a partial report says that makes `after` out of `before`."""
+    """Return the content of a partial report that turns `before` into `after`."""
     changed = [load for instance, load in after.items() if before.get(instance) != load]
-    ended = [ServerLoad(instance, 0, 0) for instance in before if instance not in after]
-    return changed + ended
+    now_idle = [ServerLoad(instance, 0, 0) for instance in before if instance not in after]
+    return changed + now_idle
 
 
 def apply_changes(table: dict[str, ServerLoad], changes: Iterable[ServerLoad]) -> None:
-    """Follow a partial report."""
+    """Apply a partial report to the table."""
     for load in changes:
         if is_idle(load):
             table.pop(load.instance, None)
@@ -88,15 +88,15 @@
 
 
 class LoadAggregator:
-    """The newest loads of each sender, and their sum."""
+    """The latest loads of each sender, and their total."""
 
     def __init__(self) -> None:
-        """Nobody has told anything."""
-        self.total: dict[str, ServerLoad] = {}  # by instance; servers with nothing are not named
+        """Start without any sender."""
+        self.total: dict[str, ServerLoad] = {}  # by instance, without idle servers
         self._senders: dict[str, _Sender] = {}
 
     def apply_report(self, loads: ServerLoads, now: int) -> bool:
-        """Take a sender's report; false where it is no newer, or names changes to what is not known here."""
+        """Apply a sender's report; return False if it is not newer, or partial and does not follow the last one."""
         known = self._senders.get(loads.node)
         current = known is not None and now - known.heard_at < EXPIRY_NS
         if current and known.count >= loads.count:
@@ -104,14 +104,14 @@
         if loads.partial and not (current and loads.count == known.count + 1):
             return False
         if known is None:
-            if len(self._senders) >= MOST_SENDERS:
+            if len(self._senders) >= MAX_SENDERS:
                 return False
             known = self._senders[loads.node] = _Sender(now, loads.count, loads.sidecars)
         known.heard_at, known.count, known.sidecars = now, loads.count, loads.sidecars
-        told = list(loads.loads)
+        changes = list(loads.loads)
         if not loads.partial:
-            told = changes_between(known.loads, by_instance(told))
-        self._apply(known, told)
+            changes = changes_between(known.loads, by_instance(changes))
+        self._apply(known, changes)
         return True
 
     def _apply(self, sender: _Sender, changes: list[ServerLoad]) -> None:
@@ -125,15 +125,15 @@
         apply_changes(sender.loads, changes)
 
     def expire(self, now: int) -> None:
-        """Forget senders that have fallen silent."""
+        """Drop senders that have not reported for `EXPIRY_NS`."""
         for node in [node for node, sender in self._senders.items() if now - sender.heard_at >= EXPIRY_NS]:
             sender = self._senders.pop(node)
             self._apply(sender, [ServerLoad(instance, 0, 0) for instance in sender.loads])
 
     def senders(self) -> list[str]:
-        """Who has told anything lately."""
+        """Return the nodes whose reports have not expired."""
         return list(self._senders)
 
     def sidecars(self) -> int:
-        """Of all senders together."""
+        """Return the number of sidecars of all senders together."""
         return sum(sender.sidecars for sender in self._senders.values())
--- a/iristrack/placement/ranking.py
+++ b/iristrack/placement/ranking.py
@@ -1,4 +1,4 @@
-"""Rendezvous ranking of servers by a key's hash; shared by the program in service and the system's data plane."""
+"""Rendezvous ranking of servers by a key's hash; shared by the sidecar balancer and the system's data plane."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def hash64(text: str) -> int:
-    """64 bits of BLAKE2b."""
+    """Return 64 bits of the text's BLAKE2b hash."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def mix64(x: int) -> int:
-    """Spread the bits of a 64-bit number (the finaliser of SplitMix64)."""
+    """Mix the bits of a 64-bit number with the finalizer of SplitMix64."""
     x = ((x ^ (x >> 30)) * 0xBF58476D1CE4E5B9) & MASK
     x = ((x ^ (x >> 27)) * 0x94D049BB133111EB) & MASK
     return x ^ (x >> 31)
 
 
 def rank_value(seed: int, server_hash: int, weight: float) -> float:
-    """A server's place in a key's ranking, the lowest first; a heavier server is first for more keys."""
+    """Return a server's sort value in a key's ranking, lowest first; a higher weight makes it first for more keys."""
     return -math.log((mix64(seed ^ server_hash) + 1) / (MASK + 2)) / weight
--- a/iristrack/placement/rollouts.py
+++ b/iristrack/placement/rollouts.py
@@ -1,7 +1,7 @@
-"""Roll-outs as one sidecar sees them: which version's servers a request may go to, and how its requests ended there.
+"""Roll-outs in one sidecar: which version's servers a request may go to, and how its requests ended there.
 
-What the new version may get is a lease: it holds for `LEASE_NS` after the core has last been heard of in a quorum, by
-this sidecar's clock. Without it everything goes to the version that is there. No I/O; times are ns.
+The permission to send to the new version is a lease, which holds for `LEASE_NS` by this sidecar's clock after the last
+contact with the core in a quorum. Without the lease all requests go to the old version. No I/O; times are in ns.
 """
 
 from __future__ import annotations
@@ -28,60 +28,58 @@
 
 NS_PER_MS = 1_000_000
 LEASE_NS = 1600 * NS_PER_MS
-MOST_ROWS = 512  # of counts, by route and server
-SAMPLES = 32  # of the old version's times on a route
-FEWEST_SAMPLES = 3
-SLOW_FIRST_FACTOR = (
-    4.0  # times the usual time until the first part is slow: a new server holds no prompts yet,
-)
+MAX_ROW_COUNT = 512  # counters by route and server
+SAMPLE_COUNT = 32  # kept response times of the old version on a route
+MIN_SAMPLE_COUNT = 3
+SLOW_FIRST_FACTOR = 4.0  # of the usual time to the first part; high, as a new server keeps no prompts yet
 SLOW_FIRST_MARGIN_NS = 60 * NS_PER_MS
-SLOW_PAUSE_FACTOR = 2.5  # and so many times the usual pause, which does not depend on what is held
+SLOW_PAUSE_FACTOR = 2.5  # of the usual pause between parts, which does not depend on kept prompts
 SLOW_PAUSE_MARGIN_NS = 8 * NS_PER_MS
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerTimes:
-    """How long a whole answer took."""
+    """Times of a complete answer."""
 
-    first_ns: int  # from its sending to its first part
+    first_ns: int  # from sending the request to the first part of the answer
     pause_ns: int = 0  # between two parts, on average
 
 
 class UsualTimes:
-    """The times of one route's answers from the version that is there."""
+    """Recent times of one route's answers from the old version."""
 
     def __init__(self) -> None:
-        """None was seen."""
-        self._first: deque[int] = deque(maxlen=SAMPLES)
-        self._pause: deque[int] = deque(maxlen=SAMPLES)
+        """Start without samples."""
+        self._first: deque[int] = deque(maxlen=SAMPLE_COUNT)
+        self._pause: deque[int] = deque(maxlen=SAMPLE_COUNT)
 
     def add(self, times: AnswerTimes) -> None:
-        """An answer came."""
+        """Add the times of an answer."""
         self._first.append(times.first_ns)
         self._pause.append(times.pause_ns)
 
     def is_slow(self, times: AnswerTimes) -> bool:
-        """Did an answer take several times as long as usual? Unknown, and so false, while few were seen."""
-        if len(self._first) < FEWEST_SAMPLES:
+        """Return whether an answer took several times as long as usual; False while there are too few samples."""
+        if len(self._first) < MIN_SAMPLE_COUNT:
             return False
-        most_first = SLOW_FIRST_FACTOR * median(self._first) + SLOW_FIRST_MARGIN_NS
-        most_pause = SLOW_PAUSE_FACTOR * median(self._pause) + SLOW_PAUSE_MARGIN_NS
-        return times.first_ns > most_first or times.pause_ns > most_pause
+        max_first_ns = SLOW_FIRST_FACTOR * median(self._first) + SLOW_FIRST_MARGIN_NS
+        max_pause_ns = SLOW_PAUSE_FACTOR * median(self._pause) + SLOW_PAUSE_MARGIN_NS
+        return times.first_ns > max_first_ns or times.pause_ns > max_pause_ns
 
 
 class Rollouts:
-    """The roll-outs of all services, and the counts of this process."""
+    """Roll-outs of all services, and the answer counts of this process."""
 
     def __init__(self) -> None:
-        """Nothing is rolled out."""
+        """Start without any roll-out."""
         self._states: dict[str, RolloutState] = {}  # by service
-        self._confirmed_at: int | None = None  # when the core was last heard of in a quorum
+        self._confirmed_at: int | None = None  # last contact with the core in a quorum
         self._counts: dict[tuple[str, int, bool, str, str], Answers] = {}
         self._usual: dict[str, UsualTimes] = {}  # by route
-        self.counted = 0  # answers, ever
+        self.counted = 0  # answers counted since the start
 
     def apply_states(self, states: Iterable[RolloutState]) -> None:
-        """Go by the newest states; counts of roll-outs that are over are dropped."""
+        """Replace the states by the newest ones, and drop the counts of roll-outs that have ended."""
         self._states = {state.service: state for state in states}
         running = {state.number for state in self._states.values() if state.phase == RUNNING}
         self._counts = {row: answers for row, answers in self._counts.items() if row[1] in running}
@@ -89,20 +87,20 @@
             self._usual.clear()
 
     def renew_lease(self, now: int) -> None:
-        """The core, in a quorum, has told how new its states are."""
+        """Renew the lease: the core, in a quorum, has confirmed that the states are current."""
         self._confirmed_at = now
 
     @property
     def running(self) -> bool:
-        """Is any version brought in just now?"""
+        """Return whether any roll-out is running."""
         return any(state.phase == RUNNING for state in self._states.values())
 
-    # ---- which servers
+    # ---- selection of servers
 
     def allowed_servers(
-        self, service: str, servers: Sequence[Server], again: bool, now: int, rng: random.Random
+        self, service: str, servers: Sequence[Server], is_retry: bool, now: int, rng: random.Random
     ) -> Sequence[Server]:
-        """The servers of the version that this request goes to; `again`: it was sent to another server before."""
+        """Choose a version for the request and return its servers; `is_retry`: it was sent to a server before."""
         state = self._states.get(service)
         if state is None:
             return servers
@@ -112,30 +110,30 @@
             return new or old
         if state.phase == REVERTED or not new:
             return old
-        if not self._goes_to_new(state, again, now, rng):
+        if not self._goes_to_new(state, is_retry, now, rng):
             return old or (new if state.share >= FULL_SHARE else old)
         if state.share >= FULL_SHARE:
             return new
-        turn = hash64(str(canary_turn(state)))
-        ranked = sorted(new, key=lambda server: mix64(server.hash ^ turn))
+        turn_seed = hash64(str(canary_turn(state)))
+        ranked = sorted(new, key=lambda server: mix64(server.hash ^ turn_seed))
         return ranked[: busy_servers(len(new), state)]
 
     def is_canary_loaded(self, service: str) -> bool:
-        """Is a request of this service that is sent now no measure of how slow the new version is?"""
+        """Return whether the service's canary is kept busier than usual now, so that its times prove nothing."""
         state = self._states.get(service)
         return state is not None and is_loaded(state)
 
-    def _goes_to_new(self, state: RolloutState, again: bool, now: int, rng: random.Random) -> bool:
+    def _goes_to_new(self, state: RolloutState, is_retry: bool, now: int, rng: random.Random) -> bool:
         if self._confirmed_at is None or now - self._confirmed_at > LEASE_NS:
             return False
         if state.share >= FULL_SHARE:
             return True
-        return not again and rng.random() * FULL_SHARE < state.share
+        return not is_retry and rng.random() * FULL_SHARE < state.share
 
-    # ---- how requests ended
+    # ---- outcomes of requests
 
     def answered(self, server: Server, route: str, times: AnswerTimes, was_loaded: bool = False) -> None:
-        """A whole answer came; `was_loaded`: it was sent while `is_canary_loaded`, so that its times say nothing."""
+        """Count a complete answer; those of the new version are skipped if `is_canary_loaded` when they were sent."""
         state = self._states.get(server.listed.service)
         if state is None or state.phase != RUNNING:
             return
@@ -149,7 +147,7 @@
         self._count(state, server, route, Answers(slow=1) if is_slow else Answers(good=1))
 
     def failed(self, server: Server, route: str) -> None:
-        """It failed, broke off or fell silent."""
+        """Count a request that failed, was cut off or timed out."""
         state = self._states.get(server.listed.service)
         if state is not None and state.phase == RUNNING:
             self._count(state, server, route, Answers(failed=1))
@@ -157,13 +155,13 @@
     def _count(self, state: RolloutState, server: Server, route: str, answer: Answers) -> None:
         is_new = server.listed.software == state.version
         row = (state.service, state.number, is_new, route, server.instance_id if is_new else "")
-        if row not in self._counts and len(self._counts) >= MOST_ROWS:
+        if row not in self._counts and len(self._counts) >= MAX_ROW_COUNT:
             return
         self._counts[row] = self._counts.get(row, NO_ANSWERS).plus(answer)
         self.counted += 1
 
     def counts(self) -> tuple[AnswerCounts, ...]:
-        """All that was counted of the roll-outs that run."""
+        """Return the counts of all running roll-outs."""
         return tuple(
             AnswerCounts(service, number, is_new, route, instance, a.good, a.failed, a.slow)
             for (service, number, is_new, route, instance), a in self._counts.items()
--- a/iristrack/prefix_index/__init__.py
+++ b/iristrack/prefix_index/__init__.py
@@ -1,9 +1,10 @@
-"""Which model servers and stores keep which parts of prompts: deciders without I/O; time is an argument.
+"""Index of the prompt parts that model servers and stores keep. No I/O; time is an argument.
 
-`parts` reads the prompt's parts from a request, `kv_events` the calls' answers that tell what a holder keeps, `index`
-keeps it and answers routing's questions from it, `table` bounds it, `pending_prefills` knows who reads a shared part
-for the first time just now, and `digest` hands one watcher's knowledge of a holder on to others.
+`parts` parses a request's prompt parts, `kv_events` parses the answers by which a holder reports what it keeps, `index`
+stores this and answers lookups for routing, `table` bounds the index, `catalog` is the copy that core members relay,
+`pending_prefills` tracks shared parts that are being prefilled for the first time, and `digest` passes one watcher's
+knowledge of a holder to other sidecars.
 
-What the index says is advice. A holder checks for itself what it keeps, so an entry that is stale, late or false costs
-at most a miss there.
+The index is advisory. A holder itself checks what it keeps, so a stale, late or wrong entry costs at most a cache miss
+there.
 """
--- a/iristrack/prefix_index/catalog.py
+++ b/iristrack/prefix_index/catalog.py
@@ -1,4 +1,4 @@
-"""All that holders keep, as a core member hands it on: by holder, salt and model."""
+"""Catalog of everything that holders keep, by holder, salt and model, as relayed by a core member."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from iristrack.prefix_index.kv_events import KeptEvent, KeptPart
 from iristrack.wire.messages import KeptParts, PartTokens
 
-MOST_ENTRIES = 500_000
+MAX_ENTRIES = 500_000
 
 Space = tuple[str, str]  # salt, model
 
 
 class KeptCatalog:
-    """What each holder keeps; a holder that would pass the bound is told of no more until it is reset."""
+    """What each holder keeps; parts beyond the limit are refused and stay unknown until reported again."""
 
-    def __init__(self, most_entries: int = MOST_ENTRIES) -> None:
-        """Nothing is known."""
-        self.most_entries = most_entries
+    def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
+        """Start without any holder."""
+        self.max_entries = max_entries
         self.entries = 0
-        self.refused = 0  # changes left out for the bound
+        self.refused = 0  # changes dropped because of the limit
         self._holders: dict[str, dict[Space, dict[str, int]]] = {}
 
     def apply(self, change: KeptParts) -> None:
-        """Take a change."""
+        """Apply a change."""
         if change.reset:
             self.forget(change.holder)
         spaces = self._holders.setdefault(change.holder, {})
@@ -44,23 +44,23 @@
                 self.entries -= 1
         elif known:
             space[part.part] = part.tokens
-        elif self.entries < self.most_entries:
+        elif self.entries < self.max_entries:
             space[part.part] = part.tokens
             self.entries += 1
         else:
             self.refused += 1
 
     def forget(self, holder: str) -> None:
-        """Drop all that is known of a holder."""
+        """Remove everything known of a holder."""
         spaces = self._holders.pop(holder, {})
         self.entries -= sum(len(space) for space in spaces.values())
 
     def holders(self) -> list[str]:
-        """Holders of which anything is known."""
+        """Return the known holders."""
         return list(self._holders)
 
     def snapshot(self, holders: Iterable[str]) -> Iterator[KeptParts]:
-        """Changes that tell one who knows nothing all that these holders keep."""
+        """Yield changes that transfer everything these holders keep to a receiver without any state."""
         for holder in holders:
             yield KeptParts(holder, True, "", "")
             for (salt, model), space in self._holders.get(holder, {}).items():
@@ -69,19 +69,19 @@
 
 
 def changes_of_events(holder: str, events: Iterable[KeptEvent]) -> list[KeptParts]:
-    """Events as changes, in their order; those of one salt and model in a row are one change."""
+    """Convert events to changes in the same order; consecutive ones with equal salt and model become one change."""
     rows = ((e.salt, e.model, PartTokens(e.part_id, e.tokens_kept_now)) for e in events)
     return _grouped(holder, rows)
 
 
 def changes_of_list(holder: str, owned: Iterable[KeptPart]) -> list[KeptParts]:
-    """A holder's list as changes, the first of which voids what was known."""
+    """Convert a holder's list to changes, the first of which resets the holder."""
     rows = ((k.salt, k.model, PartTokens(k.part_id, k.tokens)) for k in owned)
     return [KeptParts(holder, True, "", ""), *_grouped(holder, rows)]
 
 
 def coalesce_changes(changes: Iterable[KeptParts]) -> list[KeptParts]:
-    """The same changes in fewer rows: one for each holder, salt and model, with the newest word on each part."""
+    """Merge changes into one per holder, salt and model, with the latest value of each part."""
     holders: dict[str, _Pending] = {}
     for change in changes:
         pending = holders.setdefault(change.holder, _Pending())
@@ -96,13 +96,13 @@
 
 @dataclass(slots=True)
 class _Pending:
-    """Changes of one holder that are not told yet."""
+    """Changes of one holder that are still to be sent."""
 
     reset: bool = False
     spaces: dict[Space, dict[str, PartTokens]] = field(default_factory=dict)
 
     def rows(self, holder: str) -> Iterator[KeptParts]:
-        """The changes, the one that voids what was known before them."""
+        """Yield the changes, with a reset first if there was one."""
         if self.reset:
             yield KeptParts(holder, True, "", "")
         for (salt, model), parts in self.spaces.items():
--- a/iristrack/relay/__init__.py
+++ b/iristrack/relay/__init__.py
@@ -1,1 +1,1 @@
-"""How updates reach every sidecar: topics with sequence numbers, handed on from process to process. No I/O."""
+"""Distribution of updates to all sidecars: topics with sequence numbers, relayed between processes. No I/O."""
--- a/tests/duties/test_lease.py
+++ b/tests/duties/test_lease.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from iristrack.duties.lease import CLAIM_MARGIN_NS, RENEW_NS, RENEWAL_VALID_NS, Lease
+from iristrack.duties.lease import CLAIM_MARGIN_NS, RENEWAL_INTERVAL_NS, RENEWAL_VALID_NS, Lease
 from iristrack.wire.messages import DutyValue
 from tests.duties.fleet import LEASE_NS, MS, Act, Fleet, Trouble
 
@@ -115,7 +115,7 @@
 
 def test_a_holder_acts_from_its_claim_until_well_before_its_lease_ends() -> None:
     lease = lease_of("a")
-    lease.claimed(value(1), began=1_000, now=500 * MS)
+    lease.claimed(value(1), started_at=1_000, now=500 * MS)
     assert lease.may_act(500 * MS)
     assert not lease.may_act(1_000 + RENEWAL_VALID_NS)
     assert RENEWAL_VALID_NS < LEASE_NS // 2
@@ -124,8 +124,8 @@
 
 def test_a_holder_renews_long_before_it_has_to_stop() -> None:
     lease = lease_of("a")
-    lease.claimed(value(1), began=0, now=0)
-    due = RENEW_NS
+    lease.claimed(value(1), started_at=0, now=0)
+    due = RENEWAL_INTERVAL_NS
     assert not lease.should_claim(due - 1)
     assert lease.should_claim(due)
     assert lease.may_act(due + 400 * MS)  # a renewal may take a while
@@ -153,7 +153,7 @@
 
 def test_a_holder_that_sees_another_stops_at_once() -> None:
     lease = lease_of("a")
-    lease.claimed(value(1), began=0, now=0)
+    lease.claimed(value(1), started_at=0, now=0)
     lease.observe(value(2, owner="b", fence=2), 1)
     assert not lease.may_act(1)
     assert not lease.should_claim(1)
--- a/tests/engines/test_named_weights.py
+++ b/tests/engines/test_named_weights.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from iristrack.engines.named_weights import (
-    EARLIER_NS,
-    LOOK_AGAIN_NS,
+    CLOCK_TOLERANCE_NS,
     MAX_MODELS,
-    MOST_REVISIONS,
+    MAX_REVISIONS,
     NS_PER_MS,
+    RECHECK_NS,
     NamedWeights,
 )
 from iristrack.wire.messages import NamedAge
@@ -59,10 +59,10 @@
 
 def test_the_table_is_bounded_and_never_tells_a_later_moment() -> None:
     named = NamedWeights()
-    for revision in range(1, 3 * MOST_REVISIONS):
+    for revision in range(1, 3 * MAX_REVISIONS):
         named.learn("m", revision, revision * 10)
-    assert len(named._named["m"]) == MOST_REVISIONS
-    for revision in range(3 * MOST_REVISIONS - 1):
+    assert len(named._named["m"]) == MAX_REVISIONS
+    for revision in range(3 * MAX_REVISIONS - 1):
         assert named.superseded_at("m", revision) <= (revision + 1) * 10
 
 
@@ -90,8 +90,8 @@
 
 def test_work_may_begin_until_the_allowance_of_the_first_newer_revision_ends() -> None:
     named = NamedWeights()
-    assert named.begin_by("m", 1, 70, 0) == 70 + LOOK_AGAIN_NS
-    assert named.begin_by("m", 1, 70, 2 * LOOK_AGAIN_NS) == 70 + 2 * LOOK_AGAIN_NS
+    assert named.begin_by("m", 1, 70, 0) == 70 + RECHECK_NS
+    assert named.begin_by("m", 1, 70, 2 * RECHECK_NS) == 70 + 2 * RECHECK_NS
     named.learn("m", 2, 20)
     named.learn("m", 3, 60)
     assert (named.begin_by("m", 1, 70, 100), named.begin_by("m", 2, 70, 100)) == (120, 160)
@@ -117,4 +117,6 @@
     assert named.knows_earlier([NamedAge("m", 2, 1000)], now)
     assert not named.knows_earlier([NamedAge("m", 2, 3900)], now)
     assert not named.knows_earlier([NamedAge("m", 2, 9000)], now)
-    assert not named.knows_earlier([], SECOND + EARLIER_NS)  # just named: the other may not have heard yet
+    assert not named.knows_earlier(
+        [], SECOND + CLOCK_TOLERANCE_NS
+    )  # just named: the other may not have heard yet
--- a/tests/engines/test_rolling_upgrade.py
+++ b/tests/engines/test_rolling_upgrade.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from iristrack.engines.rolling_upgrade import (
-    AT_ONCE_SHARE,
+    MAX_CONCURRENT_SHARE,
     PREPARE_NS,
-    REST_NS,
+    RETRY_BACKOFF_NS,
     RollingUpgrade,
     Upgrade,
     wanted_upgrades,
@@ -50,7 +50,7 @@
     for _ in range(5):
         roll.next_orders(wanted, servers, now)
         now += PREPARE_NS
-    assert len(roll.ordered) == at_once <= max(1, servers * AT_ONCE_SHARE)
+    assert len(roll.ordered) == at_once <= max(1, servers * MAX_CONCURRENT_SHARE)
 
 
 def test_a_server_is_prepared_before_it_is_ordered() -> None:
@@ -133,7 +133,7 @@
     rng = random.Random(seed)
     roll, now = RollingUpgrade(), 0
     servers = count + more
-    at_once = max(1, int(servers * AT_ONCE_SHARE))
+    at_once = max(1, int(servers * MAX_CONCURRENT_SHARE))
     wanted = {u.instance_id: u for u in upgrades(count)}
     stubborn = {f"i-{number:02}" for number in never_done}
     ending: dict[str, int] = {}
@@ -175,6 +175,6 @@
     assert list(roll.preparing) == ["i-01"]
     assert roll.next_orders(wanted, 1, 2 * PREPARE_NS) == [wanted[1]]
     roll.ended("i-01")
-    rested = PREPARE_NS + REST_NS
+    rested = PREPARE_NS + RETRY_BACKOFF_NS
     roll.next_orders(wanted[:1], 1, rested)
     assert roll.next_orders(wanted[:1], 1, rested + PREPARE_NS) == [wanted[0]]
--- a/tests/engines/test_rollouts.py
+++ b/tests/engines/test_rollouts.py
@@ -11,7 +11,7 @@
 from iristrack.engines.rollouts import (
     FINISHED,
     FULL_SHARE,
-    LEAST_CANARY_SHARE,
+    MIN_CANARY_SHARE,
     REVERTED,
     RUNNING,
     RolloutObservation,
@@ -33,7 +33,7 @@
 
 def test_nothing_is_sent_before_a_server_of_the_version_is_ready() -> None:
     assert next_state(BEGUN, at(0.4, new_ready=0)).share == 0
-    assert next_state(BEGUN, at(0.01)).share == LEAST_CANARY_SHARE
+    assert next_state(BEGUN, at(0.01)).share == MIN_CANARY_SHARE
 
 
 def test_the_share_rises_one_step_at_a_time_and_never_falls() -> None:
@@ -47,13 +47,13 @@
 
 
 def test_it_waits_for_evidence_while_there_is_time() -> None:
-    canary = replace(BEGUN, share=LEAST_CANARY_SHARE)
-    assert next_state(canary, at(0.58, answers=3)).share == LEAST_CANARY_SHARE
-    assert next_state(canary, at(0.58)).share > LEAST_CANARY_SHARE
-    assert next_state(canary, at(0.65, answers=3)).share > LEAST_CANARY_SHARE
+    canary = replace(BEGUN, share=MIN_CANARY_SHARE)
+    assert next_state(canary, at(0.58, answers=3)).share == MIN_CANARY_SHARE
+    assert next_state(canary, at(0.58)).share > MIN_CANARY_SHARE
+    assert next_state(canary, at(0.65, answers=3)).share > MIN_CANARY_SHARE
 
 
-@pytest.mark.parametrize("share", [0, LEAST_CANARY_SHARE, FULL_SHARE])
+@pytest.mark.parametrize("share", [0, MIN_CANARY_SHARE, FULL_SHARE])
 def test_a_bad_version_is_reverted_from_any_step_and_for_good(share: int) -> None:
     reverted = next_state(replace(BEGUN, share=share), at(0.5, is_bad=True))
     assert (reverted.phase, reverted.share) == (REVERTED, 0)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answers", "share"), [(0, LEAST_CANARY_SHARE), (200, 109), (2_000, 60), (200_000, 54)]
+    ("answers", "share"), [(0, MIN_CANARY_SHARE), (200, 109), (2_000, 60), (200_000, 54)]
 )
 def test_a_canary_gets_as_much_as_its_budget_bears(answers: int, share: int) -> None:
     assert next_state(BEGUN, at(0.4, all_answers=answers)).share == share
@@ -85,7 +85,7 @@
     assert sent_to(70, FULL_SHARE) == 70
     assert sent_to(70, 450) < 0.45 * 70
     assert sent_to(70, 100) == 6
-    assert sent_to(1, LEAST_CANARY_SHARE) == sent_to(5, LEAST_CANARY_SHARE) == 1
+    assert sent_to(1, MIN_CANARY_SHARE) == sent_to(5, MIN_CANARY_SHARE) == 1
 
 
 def test_every_other_turn_of_a_canary_keeps_half_as_many_servers_busy() -> None:
--- a/tests/placement/test_loads.py
+++ b/tests/placement/test_loads.py
@@ -7,10 +7,10 @@
 
 from iristrack.placement.loads import (
     EXPIRY_NS,
-    LONGEST_INTERVAL_NS,
-    MOST_SENDERS,
-    REPEAT_NS,
-    WHOLE_NS,
+    FULL_REPORT_INTERVAL_NS,
+    KEEPALIVE_INTERVAL_NS,
+    MAX_INTERVAL_NS,
+    MAX_SENDERS,
     LoadAggregator,
     by_instance,
     report_interval,
@@ -29,23 +29,23 @@
 
 @given(st.lists(LOADS, max_size=5))
 def test_the_sum_holds_every_load_once(rows) -> None:
-    board = LoadAggregator()
+    aggregator = LoadAggregator()
     requests: Counter[str] = Counter()
     pieces: Counter[str] = Counter()
     for number, loads in enumerate(rows):
-        board.apply_report(ServerLoads(f"n{number}", 1, tuple(ServerLoad(*load) for load in loads)), 0)
+        aggregator.apply_report(ServerLoads(f"n{number}", 1, tuple(ServerLoad(*load) for load in loads)), 0)
         for instance, request_count, piece_count in loads:
             requests[instance] += request_count
             pieces[instance] += piece_count
     expected = {i: ServerLoad(i, requests[i], pieces[i]) for i in requests if requests[i] or pieces[i]}
-    assert board.total == expected
+    assert aggregator.total == expected
 
 
 def test_outcomes_are_summed_with_what_is_under_way() -> None:
-    board = LoadAggregator()
-    board.apply_report(ServerLoads("n1", 1, (ServerLoad("a", 1, 2, answered=3, failed=4),)), 0)
-    board.apply_report(ServerLoads("n2", 1, (ServerLoad("a", 10, 20, answered=30, failed=40),)), 0)
-    assert board.total == {"a": ServerLoad("a", 11, 22, answered=33, failed=44)}
+    aggregator = LoadAggregator()
+    aggregator.apply_report(ServerLoads("n1", 1, (ServerLoad("a", 1, 2, answered=3, failed=4),)), 0)
+    aggregator.apply_report(ServerLoads("n2", 1, (ServerLoad("a", 10, 20, answered=30, failed=40),)), 0)
+    assert aggregator.total == {"a": ServerLoad("a", 11, 22, answered=33, failed=44)}
 
 
 def test_a_share_is_taken_off_the_sum_and_nothing_falls_below_zero() -> None:
@@ -58,91 +58,93 @@
 
 @given(st.lists(st.tuples(st.sampled_from("xyz"), TABLES, st.booleans()), max_size=20))
 def test_the_sum_of_partial_reports_is_that_of_whole_ones(steps) -> None:
-    """A model of the board: each sender's newest table, summed anew; `lost` senders report to nobody once."""
-    board, streams, newest, now = LoadAggregator(), {}, {}, 0
+    """A model of the aggregator: each sender's newest table, summed anew; `lost` senders report to nobody once."""
+    aggregator, streams, newest, now = LoadAggregator(), {}, {}, 0
     for sender, rows, lost in steps:
-        now += REPEAT_NS // 10
+        now += KEEPALIVE_INTERVAL_NS // 10
         table = by_instance(ServerLoad(i, *row) for i, row in rows.items() if any(row))
         stream = streams.setdefault(sender, ReportStream(sender))
         report = stream.next(table, 1, now)
         if lost:  # as when the connection ends: what follows is whole
             stream.force_full_report()
         elif report is not None:
-            assert board.apply_report(report, now)
+            assert aggregator.apply_report(report, now)
             newest[sender] = table
-    assert board.total == by_instance(load for table in newest.values() for load in table.values())
+    assert aggregator.total == by_instance(load for table in newest.values() for load in table.values())
 
 
 def test_changes_to_what_is_not_known_wait_for_the_next_whole_report() -> None:
-    board = LoadAggregator()
+    aggregator = LoadAggregator()
     part = ServerLoads("n1", 2, (ServerLoad("a", 1, 0),), partial=True)
-    assert not board.apply_report(part, 0)  # nothing before it is known
-    assert board.apply_report(told("n1", 2, a=1), 0)
-    assert not board.apply_report(
+    assert not aggregator.apply_report(part, 0)  # nothing before it is known
+    assert aggregator.apply_report(told("n1", 2, a=1), 0)
+    assert not aggregator.apply_report(
         ServerLoads("n1", 4, (ServerLoad("b", 1, 0),), partial=True), 0
     )  # the third is missing
-    assert board.total == {"a": ServerLoad("a", 1, 2)}
-    assert board.apply_report(
+    assert aggregator.total == {"a": ServerLoad("a", 1, 2)}
+    assert aggregator.apply_report(
         ServerLoads("n1", 3, (ServerLoad("a", 0, 0), ServerLoad("b", 1, 0)), partial=True), 0
     )
-    assert board.total == {"b": ServerLoad("b", 1, 0)}
+    assert aggregator.total == {"b": ServerLoad("b", 1, 0)}
 
 
 def test_a_stream_tells_changes_and_now_and_then_the_whole() -> None:
     stream = ReportStream("n")
     one, two = ServerLoad("a", 1, 0), ServerLoad("b", 2, 0)
     assert stream.next({"a": one}, 1, 0) == ServerLoads("n", 1, (one,))
-    assert stream.next({"a": one}, 1, REPEAT_NS - 1) is None
-    assert stream.next({"a": one, "b": two}, 1, REPEAT_NS - 1) == ServerLoads("n", 2, (two,), partial=True)
-    assert stream.next({"b": two}, 1, REPEAT_NS) == ServerLoads(
+    assert stream.next({"a": one}, 1, KEEPALIVE_INTERVAL_NS - 1) is None
+    assert stream.next({"a": one, "b": two}, 1, KEEPALIVE_INTERVAL_NS - 1) == ServerLoads(
+        "n", 2, (two,), partial=True
+    )
+    assert stream.next({"b": two}, 1, KEEPALIVE_INTERVAL_NS) == ServerLoads(
         "n", 3, (ServerLoad("a", 0, 0),), partial=True
     )
-    assert stream.next({"b": two}, 1, 2 * REPEAT_NS) == ServerLoads(
+    assert stream.next({"b": two}, 1, 2 * KEEPALIVE_INTERVAL_NS) == ServerLoads(
         "n", 4, (), partial=True
     )  # a sign of life
-    assert stream.next({"b": two}, 1, WHOLE_NS) == ServerLoads("n", 5, (two,))
+    assert stream.next({"b": two}, 1, FULL_REPORT_INTERVAL_NS) == ServerLoads("n", 5, (two,))
     stream.force_full_report()
-    assert stream.next({"b": two}, 1, WHOLE_NS + 1) == ServerLoads("n", 6, (two,))
+    assert stream.next({"b": two}, 1, FULL_REPORT_INTERVAL_NS + 1) == ServerLoads("n", 6, (two,))
 
 
 def test_reports_get_rarer_as_the_fleet_grows_but_not_so_rare_that_they_lapse() -> None:
     intervals = [report_interval(sidecars) for sidecars in (0, 6, 67, 370, 100_000)]
     assert intervals == sorted(intervals)
     assert intervals[0] == intervals[1]
-    assert intervals[-1] == LONGEST_INTERVAL_NS < EXPIRY_NS - REPEAT_NS
+    assert intervals[-1] == MAX_INTERVAL_NS < EXPIRY_NS - KEEPALIVE_INTERVAL_NS
 
 
 def test_a_newer_report_takes_the_place_of_the_older_and_not_the_other_way_round() -> None:
-    board = LoadAggregator()
-    assert board.apply_report(told("n1", 5, a=1), 0)
-    assert not board.apply_report(told("n1", 4, a=9), 1)
-    assert not board.apply_report(told("n1", 5, a=9), 1)
-    assert board.apply_report(told("n1", 6, b=1), 1)
-    assert board.total == {"b": ServerLoad("b", 1, 2)}
+    aggregator = LoadAggregator()
+    assert aggregator.apply_report(told("n1", 5, a=1), 0)
+    assert not aggregator.apply_report(told("n1", 4, a=9), 1)
+    assert not aggregator.apply_report(told("n1", 5, a=9), 1)
+    assert aggregator.apply_report(told("n1", 6, b=1), 1)
+    assert aggregator.total == {"b": ServerLoad("b", 1, 2)}
 
 
 def test_a_sender_that_counts_anew_is_believed_once_its_old_reports_have_lapsed() -> None:
-    board = LoadAggregator()
-    board.apply_report(told("n1", 50, a=1), 0)
-    assert not board.apply_report(told("n1", 1, a=2), EXPIRY_NS - 1)
-    assert board.apply_report(told("n1", 1, a=2), EXPIRY_NS)
+    aggregator = LoadAggregator()
+    aggregator.apply_report(told("n1", 50, a=1), 0)
+    assert not aggregator.apply_report(told("n1", 1, a=2), EXPIRY_NS - 1)
+    assert aggregator.apply_report(told("n1", 1, a=2), EXPIRY_NS)
 
 
 def test_who_falls_silent_counts_for_nothing() -> None:
-    board = LoadAggregator()
-    board.apply_report(told("n1", 1, a=1), 0)
-    board.apply_report(told("n2", 1, a=1), 1)
-    board.expire(EXPIRY_NS - 1)
-    assert board.senders() == ["n1", "n2"]
-    board.expire(EXPIRY_NS)
-    assert board.senders() == ["n2"]
-    assert board.total == {"a": ServerLoad("a", 1, 2)}
+    aggregator = LoadAggregator()
+    aggregator.apply_report(told("n1", 1, a=1), 0)
+    aggregator.apply_report(told("n2", 1, a=1), 1)
+    aggregator.expire(EXPIRY_NS - 1)
+    assert aggregator.senders() == ["n1", "n2"]
+    aggregator.expire(EXPIRY_NS)
+    assert aggregator.senders() == ["n2"]
+    assert aggregator.total == {"a": ServerLoad("a", 1, 2)}
 
 
 def test_senders_are_bounded() -> None:
-    board = LoadAggregator()
-    for number in range(MOST_SENDERS):
-        assert board.apply_report(told(f"n{number}", 1, a=1), 0)
-    assert not board.apply_report(told("one more", 1, a=1), 0)
-    assert board.apply_report(told("n0", 2, a=1), 0)
-    assert len(board.senders()) == MOST_SENDERS
+    aggregator = LoadAggregator()
+    for number in range(MAX_SENDERS):
+        assert aggregator.apply_report(told(f"n{number}", 1, a=1), 0)
+    assert not aggregator.apply_report(told("one more", 1, a=1), 0)
+    assert aggregator.apply_report(told("n0", 2, a=1), 0)
+    assert len(aggregator.senders()) == MAX_SENDERS
--- a/tests/placement/test_outcomes.py
+++ b/tests/placement/test_outcomes.py
@@ -4,11 +4,11 @@
 from hypothesis import strategies as st
 
 from iristrack.placement.outcomes import (
+    BUCKET_COUNT,
     BUCKET_NS,
-    BUCKETS,
-    FEWEST_FAILED,
-    LEAST_SHARE,
-    MOST_LEFT_OUT,
+    MAX_EJECTED_SHARE,
+    MIN_FAILED_COUNT,
+    MIN_FAILED_SHARE,
     Outcomes,
     OutcomeWindow,
     ejected_servers,
@@ -24,7 +24,7 @@
         now += wait
         (window.answered if well else window.failed)(now)
         ended.append((now // BUCKET_NS, well))
-    oldest = now // BUCKET_NS - BUCKETS + 1
+    oldest = now // BUCKET_NS - BUCKET_COUNT + 1
     counted = [well for bucket, well in ended if bucket >= oldest]
     assert window.total(now) == Outcomes(counted.count(True), counted.count(False))
 
@@ -32,23 +32,23 @@
 def test_what_is_older_than_the_window_counts_no_more() -> None:
     window = OutcomeWindow()
     window.failed(0)
-    assert window.total((BUCKETS - 1) * BUCKET_NS) == Outcomes(0, 1)
-    assert window.total(BUCKETS * BUCKET_NS) == Outcomes(0, 0)
+    assert window.total((BUCKET_COUNT - 1) * BUCKET_NS) == Outcomes(0, 1)
+    assert window.total(BUCKET_COUNT * BUCKET_NS) == Outcomes(0, 0)
 
 
 def test_one_failure_proves_nothing_and_a_small_share_neither() -> None:
-    assert not Outcomes(0, FEWEST_FAILED - 1).suspect
-    assert Outcomes(0, FEWEST_FAILED).suspect
-    enough = int(FEWEST_FAILED / LEAST_SHARE) - FEWEST_FAILED
-    assert Outcomes(enough, FEWEST_FAILED).suspect
-    assert not Outcomes(enough + 1, FEWEST_FAILED).suspect
+    assert not Outcomes(0, MIN_FAILED_COUNT - 1).suspect
+    assert Outcomes(0, MIN_FAILED_COUNT).suspect
+    enough = int(MIN_FAILED_COUNT / MIN_FAILED_SHARE) - MIN_FAILED_COUNT
+    assert Outcomes(enough, MIN_FAILED_COUNT).suspect
+    assert not Outcomes(enough + 1, MIN_FAILED_COUNT).suspect
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 9)), max_size=30))
 def test_the_worst_suspects_are_left_out_within_the_bound(counts) -> None:
     outcomes = {f"i-{number}": Outcomes(*pair) for number, pair in enumerate(counts)}
     out = ejected_servers(outcomes.items())
-    assert len(out) <= len(outcomes) * MOST_LEFT_OUT
+    assert len(out) <= len(outcomes) * MAX_EJECTED_SHARE
     assert all(outcomes[name].suspect for name in out)
 
     def share(name: str) -> float:
@@ -56,7 +56,7 @@
         return found.failed / (found.answered + found.failed)
 
     spared = [name for name, found in outcomes.items() if found.suspect and name not in out]
-    assert not spared or len(out) == int(len(outcomes) * MOST_LEFT_OUT)
+    assert not spared or len(out) == int(len(outcomes) * MAX_EJECTED_SHARE)
     assert all(share(name) <= share(worse) for name in spared for worse in out)
 
 
--- a/tests/placement/test_rollouts.py
+++ b/tests/placement/test_rollouts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from iristrack.engines.rollouts import FINISHED, FULL_SHARE, REVERTED, RUNNING
-from iristrack.placement.rollouts import FEWEST_SAMPLES, LEASE_NS, MOST_ROWS, AnswerTimes, Rollouts
+from iristrack.placement.rollouts import LEASE_NS, MAX_ROW_COUNT, MIN_SAMPLE_COUNT, AnswerTimes, Rollouts
 from iristrack.placement.servers import ListedServer, Server
 from iristrack.wire.messages import RolloutState
 
@@ -116,7 +116,7 @@
 )
 def test_an_answer_is_slow_by_what_is_usual_on_its_route(times: AnswerTimes, is_slow: bool) -> None:
     made = rollouts(RUNNING, 40)
-    for _ in range(FEWEST_SAMPLES):
+    for _ in range(MIN_SAMPLE_COUNT):
         made.answered(OLD[0], "r1", USUAL)
     made.answered(NEW[0], "r1", times)
     (row,) = [row for row in made.counts() if row.is_new]
@@ -135,6 +135,6 @@
 
 def test_the_counts_are_bounded() -> None:
     made = rollouts(RUNNING, 40)
-    for number in range(2 * MOST_ROWS):
+    for number in range(2 * MAX_ROW_COUNT):
         made.failed(NEW[0], f"r{number}")
-    assert len(made.counts()) == MOST_ROWS
+    assert len(made.counts()) == MAX_ROW_COUNT
--- a/tests/placement/test_servers.py
+++ b/tests/placement/test_servers.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from iristrack.placement.servers import (
-    FIRST_BACKOFF_NS,
-    LAST_BACKOFF_NS,
+    INITIAL_BACKOFF_NS,
+    MAX_BACKOFF_NS,
     REJECTED_BACKOFF_NS,
     Server,
     ServerTable,
@@ -37,9 +37,9 @@
         server.failed(now)
         seen.append(backoff(server, now))
         now = server.avoid_until
-    assert seen[0] == FIRST_BACKOFF_NS
-    assert all(later == min(LAST_BACKOFF_NS, 2 * earlier) for earlier, later in itertools.pairwise(seen))
-    assert seen[-1] == LAST_BACKOFF_NS
+    assert seen[0] == INITIAL_BACKOFF_NS
+    assert all(later == min(MAX_BACKOFF_NS, 2 * earlier) for earlier, later in itertools.pairwise(seen))
+    assert seen[-1] == MAX_BACKOFF_NS
 
 
 def test_a_success_forgets_the_failures() -> None:
@@ -49,7 +49,7 @@
     server.succeeded(0)
     assert server.usable(NOW)
     server.failed(NOW)
-    assert backoff(server, NOW) == FIRST_BACKOFF_NS
+    assert backoff(server, NOW) == INITIAL_BACKOFF_NS
 
 
 def test_a_rejection_is_short_and_never_shortens_a_backoff() -> None:
@@ -58,7 +58,7 @@
     assert backoff(server, NOW) == REJECTED_BACKOFF_NS
     server.failed(NOW)
     server.rejected(NOW)
-    assert backoff(server, NOW) == FIRST_BACKOFF_NS
+    assert backoff(server, NOW) == INITIAL_BACKOFF_NS
 
 
 def test_usable_means_ready_listed_and_not_avoided() -> None:
@@ -125,8 +125,8 @@
     server.mark_busy(True, NOW + 1)
     server.failed(NOW)
     server.mark_busy(False, NOW + 1)
-    assert not server.usable(NOW + FIRST_BACKOFF_NS - 1)
-    assert server.usable(NOW + FIRST_BACKOFF_NS)
+    assert not server.usable(NOW + INITIAL_BACKOFF_NS - 1)
+    assert server.usable(NOW + INITIAL_BACKOFF_NS)
 
 
 def test_a_refusal_while_it_takes_weights_does_not_outlast_them() -> None:
--- a/tests/prefix_index/test_catalog.py
+++ b/tests/prefix_index/test_catalog.py
@@ -67,7 +67,7 @@
 
 
 def test_a_full_catalog_takes_no_more_and_says_so() -> None:
-    catalog = KeptCatalog(most_entries=1)
+    catalog = KeptCatalog(max_entries=1)
     catalog.apply(KeptParts("h", False, "s", "m", (PartTokens("a", 1), PartTokens("b", 1))))
     assert (catalog.entries, catalog.refused) == (1, 1)
     catalog.forget("h")
--- a/tests/prefix_index/test_parts.py
+++ b/tests/prefix_index/test_parts.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from iristrack.prefix_index.parts import (
-    MOST_PART_TOKENS,
-    MOST_PARTS,
+    MAX_PART_TOKENS,
+    MAX_PARTS,
     MalformedPrefix,
     Part,
     parse_prefix,
@@ -39,12 +39,12 @@
 
 
 def test_as_many_parts_as_allowed_and_one_more() -> None:
-    allowed = b",".join(b"%064x:%d" % (number, MOST_PART_TOKENS) for number in range(MOST_PARTS))
-    assert len(parse_prefix(allowed)) == MOST_PARTS
+    allowed = b",".join(b"%064x:%d" % (number, MAX_PART_TOKENS) for number in range(MAX_PARTS))
+    assert len(parse_prefix(allowed)) == MAX_PARTS
     with pytest.raises(MalformedPrefix):
         parse_prefix(allowed + b",aa:1")
     with pytest.raises(MalformedPrefix):
-        parse_prefix(b",".join([b"a:1"] * (MOST_PARTS + 1)))
+        parse_prefix(b",".join([b"a:1"] * (MAX_PARTS + 1)))
 
 
 @pytest.mark.parametrize(
@@ -84,16 +84,16 @@
         parts = parse_prefix(header)
     except MalformedPrefix:
         return
-    assert len(parts) <= MOST_PARTS
-    assert all(0 <= part.tokens <= MOST_PART_TOKENS for part in parts)
+    assert len(parts) <= MAX_PARTS
+    assert all(0 <= part.tokens <= MAX_PART_TOKENS for part in parts)
 
 
 @given(
     st.lists(
         st.builds(
-            Part, st.text("0123456789abcdef", min_size=1, max_size=16), st.integers(0, MOST_PART_TOKENS)
+            Part, st.text("0123456789abcdef", min_size=1, max_size=16), st.integers(0, MAX_PART_TOKENS)
         ),
-        max_size=MOST_PARTS,
+        max_size=MAX_PARTS,
     )
 )
 def test_what_is_written_is_read(parts: list[Part]) -> None:
--- a/tests/relay_topics/test_topics.py
+++ b/tests/relay_topics/test_topics.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.relay.topics import MEMBER_SET, MEMBERS, MOST_TOPICS, REGISTERS, TopicTable, topic_of
+from iristrack.relay.topics import MAX_TOPICS, MEMBER_SET, MEMBERS, REGISTERS, TopicTable, topic_of
 from iristrack.wire.messages import Update, Version
 
 UPDATES = st.lists(
@@ -57,10 +57,10 @@
 
 
 def test_topics_are_bounded_and_the_known_ones_go_on() -> None:
-    table = table_of([Update(f"topic-{number}", 1, b"") for number in range(MOST_TOPICS)])
+    table = table_of([Update(f"topic-{number}", 1, b"") for number in range(MAX_TOPICS)])
     assert not table.learn(Update("one more", 1, b""))
     assert table.learn(Update("topic-0", 2, b""))
-    assert len(table.versions()) == MOST_TOPICS
+    assert len(table.versions()) == MAX_TOPICS
 
 
 def test_later_member_sets_are_handed_on_under_the_topic_of_the_first() -> None:
