--- a/iristrack/prefix_index/table.py
+++ b/iristrack/prefix_index/table.py
@@ -1,7 +1,7 @@
-"""A bounded table of kept parts, of all holders together, that drops the least recently touched when it is full.
+"""A bounded table of kept parts of all holders, which evicts the least recently touched entry when it is full.
 
-Each entry has a slot, an index into arrays; a ring of slots through two of them keeps the order of touches. An entry
-costs its id's text, a dictionary's item and 36 bytes in the arrays, where an object of its own would cost twice that.
+Each entry has a slot, which is an index into arrays. Two of the arrays link the slots to a ring in the order of use. An
+entry takes its id's text, a dictionary item and 36 bytes in the arrays; a separate object would take twice as much.
 """
 
 from __future__ import annotations
@@ -9,28 +9,28 @@
 from array import array
 from typing import TypeAlias
 
-SpaceKey: TypeAlias = tuple[str, str]  # cache salt and model: ids mean the same part only within one of them
+SpaceKey: TypeAlias = tuple[str, str]  # cache salt and model, the scope within which an id identifies a part
 
-_RING = 0  # the slot that is no entry: the ring's beginning and end
+_SENTINEL = 0  # slot without an entry, at the start and end of the ring
 
 
 class Space:
     """The slots of one holder's parts under one salt and model, by part id.
 
-    A space is in its holder's `siblings` exactly while it has slots.
+    It is in its holder's `siblings` only while it has slots.
     """
 
     __slots__ = ("key", "siblings", "slots")
 
     def __init__(self, siblings: dict[SpaceKey, Space], key: SpaceKey) -> None:
-        """A space without slots, not yet in `siblings`."""
+        """Create a space without slots, not yet in `siblings`."""
         self.siblings = siblings
         self.key = key
         self.slots: dict[str, int] = {}
 
 
 class EntryTable:
-    """At most `most_entries` entries; `tokens` and `stamps` (nanoseconds) are to be read by slot, never written."""
+    """At most `most_entries` entries; callers may read `tokens` and `stamps` (ns) by slot, but not write them."""
 
     __slots__ = (
         "_free",
@@ -46,22 +46,22 @@
     )
 
     def __init__(self, most_entries: int) -> None:
-        """Raises `ValueError` where not even one entry is allowed."""
+        """Start an empty table. Raises `ValueError` if `most_entries` is below 1."""
         if most_entries < 1:
-            raise ValueError(f"most_entries is {most_entries}, at least 1 is needed")
+            raise ValueError(f"most_entries must be at least 1, got {most_entries}")
         self.most_entries = most_entries
         self.entries = 0
         self.evicted = 0
         self.tokens = array("I", [0])
         self.stamps = array("q", [0])
-        self._next = array("I", [_RING])  # towards the newest; of a free slot: the next free one
-        self._previous = array("I", [_RING])
+        self._next = array("I", [_SENTINEL])  # next newer entry; for a free slot the next free one
+        self._previous = array("I", [_SENTINEL])
         self._spaces: list[Space | None] = [None]
         self._ids: list[str] = [""]
-        self._free = _RING  # the first free slot; _RING where there is none
+        self._free = _SENTINEL  # first free slot, or _SENTINEL
 
     def put(self, space: Space, part_id: str, tokens: int, now: int) -> int:
-        """Enter or renew a part as the most recently touched one; its slot."""
+        """Add or update a part as the most recently touched entry; return its slot."""
         slot = space.slots.get(part_id)
         if slot is None:
             slot = self._insert(space, part_id)
@@ -73,17 +73,17 @@
         return slot
 
     def touch(self, slot: int) -> None:
-        """Make the entry the most recently touched one."""
+        """Mark the entry as the most recently touched one."""
         self._unlink(slot)
         self._link(slot)
 
     def restore(self, slot: int, tokens: int, stamp: int) -> None:
-        """Set what the entry says without touching it."""
+        """Set the entry's values without touching it."""
         self.tokens[slot] = tokens
         self.stamps[slot] = stamp
 
     def drop(self, slot: int) -> None:
-        """Remove the entry; its slot will be another's."""
+        """Remove the entry; its slot will be reused."""
         self._unlink(slot)
         space = self._spaces[slot]
         del space.slots[self._ids[slot]]
@@ -97,7 +97,7 @@
 
     def _insert(self, space: Space, part_id: str) -> int:
         if self.entries >= self.most_entries:
-            self.drop(self._next[_RING])
+            self.drop(self._next[_SENTINEL])
             self.evicted += 1
         slot = self._take_slot()
         if not space.slots:
@@ -110,24 +110,24 @@
 
     def _take_slot(self) -> int:
         slot = self._free
-        if slot != _RING:
+        if slot != _SENTINEL:
             self._free = self._next[slot]
             return slot
         slot = len(self.tokens)
         self.tokens.append(0)
         self.stamps.append(0)
-        self._next.append(_RING)
-        self._previous.append(_RING)
+        self._next.append(_SENTINEL)
+        self._previous.append(_SENTINEL)
         self._spaces.append(None)
         self._ids.append("")
         return slot
 
     def _link(self, slot: int) -> None:
-        newest = self._previous[_RING]
+        newest = self._previous[_SENTINEL]
         self._next[newest] = slot
         self._previous[slot] = newest
-        self._next[slot] = _RING
-        self._previous[_RING] = slot
+        self._next[slot] = _SENTINEL
+        self._previous[_SENTINEL] = slot
 
     def _unlink(self, slot: int) -> None:
         following = self._next[slot]
--- a/tests/prefix_index/test_digest.py
+++ b/tests/prefix_index/test_digest.py
@@ -30,8 +30,8 @@
     return {part_id: entry.tokens for part_id, entry in entries.items() if entry is not None}
 
 
-def log(most_changes: int = 4, most_parts: int = 100) -> HolderLog:
-    return HolderLog(A, "sidecar-1", most_changes, most_parts)
+def log(max_changes: int = 4, max_parts: int = 100) -> HolderLog:
+    return HolderLog(A, "sidecar-1", max_changes, max_parts)
 
 
 def test_a_newcomer_gets_a_snapshot() -> None:
@@ -66,7 +66,7 @@
 
 
 def test_who_is_too_far_behind_gets_a_snapshot() -> None:
-    watched = log(most_changes=2)
+    watched = log(max_changes=2)
     watched.record_events(events(1, ("a", 1)))
     position = watched.position
     watched.record_events(events(2, ("a", 2), ("a", 3)))
@@ -95,7 +95,7 @@
 
 
 def test_the_parts_of_a_log_are_bounded() -> None:
-    watched = log(most_parts=2)
+    watched = log(max_parts=2)
     watched.record_events(events(1, ("a", 1), ("b", 2), ("a", 3), ("c", 4)))
     assert watched.since(None).kept == (part("a", 3), part("c", 4))
     watched.record_list(ListAnswer(1, 9, (part("a", 1), part("b", 2), part("c", 3))))
--- a/tests/prefix_index/test_pending_prefills.py
+++ b/tests/prefix_index/test_pending_prefills.py
@@ -94,7 +94,7 @@
     reads = PendingPrefills(most_reads=2)
     for number in range(3):
         reads.begin(f"v{number}", MODEL, (SYSTEM, OWN), A, number)
-    assert (len(reads), reads.given_up) == (2, 1)
+    assert (len(reads), reads.evicted) == (2, 1)
     assert reads.reader("v0", MODEL, (SYSTEM, OWN), 3) is None
     assert reads.reader("v1", MODEL, (SYSTEM, OWN), 3) == Reader(A, 1)
 
