--- a/iristrack/prefix_index/pending_prefills.py
+++ b/iristrack/prefix_index/pending_prefills.py
@@ -1,7 +1,7 @@
 """Shared prompt prefixes that are being prefilled for the first time, so that only one server prefills each of them.
 
-Other requests that share such a prefix wait for it or go to the same server. The caller begins a prefill when it sends a
-request whose shared parts are kept nowhere. It ends it when a server keeps them (the first token has arrived) or will
+Other requests that share such a prefix wait for it or go to the same server. The caller begins a prefill when it sends
+a request whose shared parts are kept nowhere. It ends it when a server keeps them (the first token has arrived) or will
 not (the request failed). A prefill that is never ended expires. Prefills are identified by the whole prefix of the
 prompt, since a kept part is only useful after all parts before it.
 """
--- a/tests/engines/test_reports.py
+++ b/tests/engines/test_reports.py
@@ -12,7 +12,7 @@
 }  # fmt: skip
 
 
-def test_a_report_tells_what_orders_need() -> None:
+def test_a_report_is_parsed() -> None:
     assert read_report(json.dumps(SAMPLE).encode()) == Report({"m": 3}, False, 2, 12, 1)
 
 
@@ -37,6 +37,6 @@
         b"[" * 100_000,
     ],
 )
-def test_what_cannot_be_read_is_no_report(body: bytes) -> None:
+def test_a_malformed_report_is_refused(body: bytes) -> None:
     with pytest.raises(MalformedReport):
         read_report(body)
--- a/tests/engines/test_rolling_upgrade.py
+++ b/tests/engines/test_rolling_upgrade.py
@@ -17,7 +17,7 @@
 from iristrack.placement.servers import ListedServer
 
 STEP_NS = 100_000_000
-SERVERS = 5  # of which two may take weights at once
+SERVER_COUNT = 5  # two of them may be upgraded at the same time
 
 
 def upgrade(name: str, revision: int = 2, model: str = "m") -> Upgrade:
@@ -32,7 +32,7 @@
     return ListedServer(name, "pool", f"{name}:80", "zone", ready, 8, tuple(models.items()))
 
 
-def test_wanted_is_what_ready_servers_lack() -> None:
+def test_upgrades_are_wanted_for_ready_servers_with_older_revisions() -> None:
     servers = [
         listed("i-1", m=1), listed("i-2", m=2), listed("i-3", m=3), listed("i-4", ready=False, m=1),
         listed("i-5", other=1), listed("i-6", m=1, n=1),
@@ -43,81 +43,81 @@
     assert wanted_upgrades(servers, {}) == []
 
 
-@pytest.mark.parametrize(("servers", "at_once"), [(1, 1), (2, 1), (3, 1), (5, 2), (9, 3), (100, 40)])
-def test_most_servers_go_on_serving(servers: int, at_once: int) -> None:
+@pytest.mark.parametrize(("servers", "max_concurrent"), [(1, 1), (2, 1), (3, 1), (5, 2), (9, 3), (100, 40)])
+def test_at_most_the_concurrent_share_is_upgraded(servers: int, max_concurrent: int) -> None:
     roll, now = RollingUpgrade(), 0
     wanted = upgrades(servers)
     for _ in range(5):
         roll.next_orders(wanted, servers, now)
         now += PREPARE_NS
-    assert len(roll.ordered) == at_once <= max(1, servers * MAX_CONCURRENT_SHARE)
+    assert len(roll.ordered) == max_concurrent <= max(1, servers * MAX_CONCURRENT_SHARE)
 
 
 def test_a_server_is_prepared_before_it_is_ordered() -> None:
     roll = RollingUpgrade()
     wanted = upgrades(5)
-    assert roll.next_orders(wanted, SERVERS, 0) == []
+    assert roll.next_orders(wanted, SERVER_COUNT, 0) == []
     assert list(roll.preparing) == ["i-00", "i-01"]
-    assert roll.next_orders(wanted, SERVERS, PREPARE_NS - 1) == []
-    assert roll.next_orders(wanted, SERVERS, PREPARE_NS) == wanted[:2]
+    assert roll.next_orders(wanted, SERVER_COUNT, PREPARE_NS - 1) == []
+    assert roll.next_orders(wanted, SERVER_COUNT, PREPARE_NS) == wanted[:2]
     assert list(roll.ordered) == ["i-00", "i-01"]
     assert list(roll.preparing) == []
 
 
-def test_a_roll_is_under_way_from_the_first_preparation_to_the_last_end() -> None:
+def test_an_upgrade_is_in_progress_from_the_first_preparation_to_the_last_end() -> None:
     roll = RollingUpgrade()
     assert not roll.in_progress
-    roll.next_orders(upgrades(1), SERVERS, 0)
+    roll.next_orders(upgrades(1), SERVER_COUNT, 0)
     assert roll.in_progress  # prepared, none ordered
-    roll.next_orders(upgrades(1), SERVERS, PREPARE_NS)
+    roll.next_orders(upgrades(1), SERVER_COUNT, PREPARE_NS)
     assert roll.in_progress and not roll.preparing  # ordered, none prepared
     roll.ended("i-00")
     assert not roll.in_progress
 
 
-def test_a_server_is_prepared_only_once_there_is_a_place_for_it() -> None:
-    """While it is prepared it is left alone, as those that take weights are: before its turn that is for nothing."""
+def test_a_server_is_prepared_only_if_the_concurrency_limit_allows_its_order() -> None:
+    """A server that is being prepared is avoided like one that loads weights, so preparing it early wastes capacity."""
     roll = RollingUpgrade()
     wanted = upgrades(4)
-    roll.next_orders(wanted, SERVERS, 0)
-    roll.next_orders(wanted, SERVERS, PREPARE_NS)
-    assert roll.next_orders(wanted, SERVERS, 9 * PREPARE_NS) == []
+    roll.next_orders(wanted, SERVER_COUNT, 0)
+    roll.next_orders(wanted, SERVER_COUNT, PREPARE_NS)
+    assert roll.next_orders(wanted, SERVER_COUNT, 9 * PREPARE_NS) == []
     assert list(roll.preparing) == []
     roll.ended("i-00")
-    assert roll.next_orders(wanted[1:], SERVERS, 9 * PREPARE_NS) == []
+    assert roll.next_orders(wanted[1:], SERVER_COUNT, 9 * PREPARE_NS) == []
     assert list(roll.preparing) == ["i-02"]
-    assert roll.next_orders(wanted[1:], SERVERS, 10 * PREPARE_NS) == [wanted[2]]
+    assert roll.next_orders(wanted[1:], SERVER_COUNT, 10 * PREPARE_NS) == [wanted[2]]
     assert set(roll.ordered) == {"i-01", "i-02"}
 
 
-def test_what_is_no_longer_wanted_is_not_ordered() -> None:
+def test_an_upgrade_that_is_no_longer_wanted_is_not_ordered() -> None:
     roll = RollingUpgrade()
-    roll.next_orders(upgrades(3), SERVERS, 0)
-    assert roll.next_orders([upgrade("i-02")], SERVERS, PREPARE_NS) == []
+    roll.next_orders(upgrades(3), SERVER_COUNT, 0)
+    assert roll.next_orders([upgrade("i-02")], SERVER_COUNT, PREPARE_NS) == []
     assert list(roll.preparing) == ["i-02"]
-    assert roll.next_orders([upgrade("i-02", 7)], SERVERS, 2 * PREPARE_NS) == [upgrade("i-02", 7)]
+    assert roll.next_orders([upgrade("i-02", 7)], SERVER_COUNT, 2 * PREPARE_NS) == [upgrade("i-02", 7)]
 
 
-def test_an_upgrade_that_was_given_up_is_begun_anew() -> None:
+def test_an_abandoned_upgrade_starts_again() -> None:
     roll = RollingUpgrade()
-    roll.next_orders(upgrades(1), SERVERS, 0)
-    assert roll.next_orders(upgrades(1), SERVERS, PREPARE_NS) == upgrades(1)
-    assert roll.next_orders(upgrades(1), SERVERS, 5 * PREPARE_NS) == []
+    roll.next_orders(upgrades(1), SERVER_COUNT, 0)
+    assert roll.next_orders(upgrades(1), SERVER_COUNT, PREPARE_NS) == upgrades(1)
+    assert roll.next_orders(upgrades(1), SERVER_COUNT, 5 * PREPARE_NS) == []
     roll.ended("i-00")
     roll.ended("i-00")
-    assert roll.next_orders(upgrades(1), SERVERS, 5 * PREPARE_NS) == []
-    assert roll.next_orders(upgrades(1), SERVERS, 6 * PREPARE_NS) == upgrades(1)
+    assert roll.next_orders(upgrades(1), SERVER_COUNT, 5 * PREPARE_NS) == []
+    assert roll.next_orders(upgrades(1), SERVER_COUNT, 6 * PREPARE_NS) == upgrades(1)
 
 
-def test_a_server_takes_one_model_at_a_time() -> None:
+def test_a_server_is_upgraded_by_one_model_at_a_time() -> None:
     roll = RollingUpgrade()
     wanted = [upgrade("i-00"), upgrade("i-00", 5, "n")]
-    roll.next_orders(wanted, SERVERS, 0)
-    assert roll.next_orders(wanted, SERVERS, PREPARE_NS) == wanted[:1]
-    assert roll.next_orders(wanted[1:], SERVERS, 9 * PREPARE_NS) == []
+    roll.next_orders(wanted, SERVER_COUNT, 0)
+    assert roll.next_orders(wanted, SERVER_COUNT, PREPARE_NS) == wanted[:1]
+    assert roll.next_orders(wanted[1:], SERVER_COUNT, 9 * PREPARE_NS) == []
     roll.ended("i-00")
-    roll.next_orders(wanted[1:], SERVERS, 9 * PREPARE_NS)
-    assert roll.next_orders(wanted[1:], SERVERS, 10 * PREPARE_NS) == wanted[1:]
+    roll.next_orders(wanted[1:], SERVER_COUNT, 9 * PREPARE_NS)
+    assert roll.next_orders(wanted[1:], SERVER_COUNT, 10 * PREPARE_NS) == wanted[1:]
 
 
 @settings(max_examples=60)
@@ -165,7 +165,7 @@
     assert len(seen) == count
 
 
-def test_a_server_that_takes_no_order_lets_the_others_go_first() -> None:
+def test_a_postponed_server_is_retried_after_the_others() -> None:
     roll = RollingUpgrade()
     wanted = upgrades(3)
     roll.next_orders(wanted, 1, 0)
@@ -175,6 +175,6 @@
     assert list(roll.preparing) == ["i-01"]
     assert roll.next_orders(wanted, 1, 2 * PREPARE_NS) == [wanted[1]]
     roll.ended("i-01")
-    rested = PREPARE_NS + RETRY_BACKOFF_NS
-    roll.next_orders(wanted[:1], 1, rested)
-    assert roll.next_orders(wanted[:1], 1, rested + PREPARE_NS) == [wanted[0]]
+    retry_at = PREPARE_NS + RETRY_BACKOFF_NS
+    roll.next_orders(wanted[:1], 1, retry_at)
+    assert roll.next_orders(wanted[:1], 1, retry_at + PREPARE_NS) == [wanted[0]]
--- a/tests/placement/test_loads.py
+++ b/tests/placement/test_loads.py
@@ -20,7 +20,7 @@
 from iristrack.wire.messages import ServerLoad, ServerLoads
 
 
-def told(node: str, count: int, **requests: int) -> ServerLoads:
+def report_of(node: str, count: int, **requests: int) -> ServerLoads:
     return ServerLoads(node, count, tuple(ServerLoad(i, n, 2 * n) for i, n in requests.items()))
 
 
@@ -28,7 +28,7 @@
 
 
 @given(st.lists(LOADS, max_size=5))
-def test_the_sum_holds_every_load_once(rows) -> None:
+def test_the_total_counts_every_load_once(rows) -> None:
     aggregator = LoadAggregator()
     requests: Counter[str] = Counter()
     pieces: Counter[str] = Counter()
@@ -41,14 +41,14 @@
     assert aggregator.total == expected
 
 
-def test_outcomes_are_summed_with_what_is_under_way() -> None:
+def test_outcomes_and_load_in_flight_are_both_summed() -> None:
     aggregator = LoadAggregator()
     aggregator.apply_report(ServerLoads("n1", 1, (ServerLoad("a", 1, 2, answered=3, failed=4),)), 0)
     aggregator.apply_report(ServerLoads("n2", 1, (ServerLoad("a", 10, 20, answered=30, failed=40),)), 0)
     assert aggregator.total == {"a": ServerLoad("a", 11, 22, answered=33, failed=44)}
 
 
-def test_a_share_is_taken_off_the_sum_and_nothing_falls_below_zero() -> None:
+def test_subtracting_a_load_never_goes_below_zero() -> None:
     total, part = ServerLoad("a", 6, 12, 5, 1), ServerLoad("a", 2, 13, 5, 0)
     assert subtract_loads(total, part) == ServerLoad("a", 4, 0, 0, 1)
 
@@ -57,15 +57,15 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("xyz"), TABLES, st.booleans()), max_size=20))
-def test_the_sum_of_partial_reports_is_that_of_whole_ones(steps) -> None:
-    """A model of the aggregator: each sender's newest table, summed anew; `lost` senders report to nobody once."""
+def test_partial_reports_give_the_same_total_as_full_ones(steps) -> None:
+    """Compare with a model that sums each sender's newest table; if `lost`, one report of the sender is dropped."""
     aggregator, streams, newest, now = LoadAggregator(), {}, {}, 0
     for sender, rows, lost in steps:
         now += KEEPALIVE_INTERVAL_NS // 10
         table = by_instance(ServerLoad(i, *row) for i, row in rows.items() if any(row))
         stream = streams.setdefault(sender, ReportStream(sender))
         report = stream.next(table, 1, now)
-        if lost:  # as when the connection ends: what follows is whole
+        if lost:  # as when the connection ends: a full report follows
             stream.force_full_report()
         elif report is not None:
             assert aggregator.apply_report(report, now)
@@ -73,14 +73,14 @@
     assert aggregator.total == by_instance(load for table in newest.values() for load in table.values())
 
 
-def test_changes_to_what_is_not_known_wait_for_the_next_whole_report() -> None:
+def test_partial_reports_after_a_gap_are_refused_until_a_full_one() -> None:
     aggregator = LoadAggregator()
     part = ServerLoads("n1", 2, (ServerLoad("a", 1, 0),), partial=True)
-    assert not aggregator.apply_report(part, 0)  # nothing before it is known
-    assert aggregator.apply_report(told("n1", 2, a=1), 0)
+    assert not aggregator.apply_report(part, 0)  # no earlier report was received
+    assert aggregator.apply_report(report_of("n1", 2, a=1), 0)
     assert not aggregator.apply_report(
         ServerLoads("n1", 4, (ServerLoad("b", 1, 0),), partial=True), 0
-    )  # the third is missing
+    )  # report 3 is missing
     assert aggregator.total == {"a": ServerLoad("a", 1, 2)}
     assert aggregator.apply_report(
         ServerLoads("n1", 3, (ServerLoad("a", 0, 0), ServerLoad("b", 1, 0)), partial=True), 0
@@ -88,7 +88,7 @@
     assert aggregator.total == {"b": ServerLoad("b", 1, 0)}
 
 
-def test_a_stream_tells_changes_and_now_and_then_the_whole() -> None:
+def test_a_stream_reports_changes_and_at_intervals_everything() -> None:
     stream = ReportStream("n")
     one, two = ServerLoad("a", 1, 0), ServerLoad("b", 2, 0)
     assert stream.next({"a": one}, 1, 0) == ServerLoads("n", 1, (one,))
@@ -101,39 +101,39 @@
     )
     assert stream.next({"b": two}, 1, 2 * KEEPALIVE_INTERVAL_NS) == ServerLoads(
         "n", 4, (), partial=True
-    )  # a sign of life
+    )  # keepalive
     assert stream.next({"b": two}, 1, FULL_REPORT_INTERVAL_NS) == ServerLoads("n", 5, (two,))
     stream.force_full_report()
     assert stream.next({"b": two}, 1, FULL_REPORT_INTERVAL_NS + 1) == ServerLoads("n", 6, (two,))
 
 
-def test_reports_get_rarer_as_the_fleet_grows_but_not_so_rare_that_they_lapse() -> None:
+def test_the_interval_grows_with_the_fleet_but_stays_below_the_expiry() -> None:
     intervals = [report_interval(sidecars) for sidecars in (0, 6, 67, 370, 100_000)]
     assert intervals == sorted(intervals)
     assert intervals[0] == intervals[1]
     assert intervals[-1] == MAX_INTERVAL_NS < EXPIRY_NS - KEEPALIVE_INTERVAL_NS
 
 
-def test_a_newer_report_takes_the_place_of_the_older_and_not_the_other_way_round() -> None:
+def test_only_a_newer_report_replaces_an_older_one() -> None:
     aggregator = LoadAggregator()
-    assert aggregator.apply_report(told("n1", 5, a=1), 0)
-    assert not aggregator.apply_report(told("n1", 4, a=9), 1)
-    assert not aggregator.apply_report(told("n1", 5, a=9), 1)
-    assert aggregator.apply_report(told("n1", 6, b=1), 1)
+    assert aggregator.apply_report(report_of("n1", 5, a=1), 0)
+    assert not aggregator.apply_report(report_of("n1", 4, a=9), 1)
+    assert not aggregator.apply_report(report_of("n1", 5, a=9), 1)
+    assert aggregator.apply_report(report_of("n1", 6, b=1), 1)
     assert aggregator.total == {"b": ServerLoad("b", 1, 2)}
 
 
-def test_a_sender_that_counts_anew_is_believed_once_its_old_reports_have_lapsed() -> None:
+def test_a_restarted_sender_is_accepted_after_its_old_reports_have_expired() -> None:
     aggregator = LoadAggregator()
-    aggregator.apply_report(told("n1", 50, a=1), 0)
-    assert not aggregator.apply_report(told("n1", 1, a=2), EXPIRY_NS - 1)
-    assert aggregator.apply_report(told("n1", 1, a=2), EXPIRY_NS)
+    aggregator.apply_report(report_of("n1", 50, a=1), 0)
+    assert not aggregator.apply_report(report_of("n1", 1, a=2), EXPIRY_NS - 1)
+    assert aggregator.apply_report(report_of("n1", 1, a=2), EXPIRY_NS)
 
 
-def test_who_falls_silent_counts_for_nothing() -> None:
+def test_a_sender_without_recent_reports_is_dropped() -> None:
     aggregator = LoadAggregator()
-    aggregator.apply_report(told("n1", 1, a=1), 0)
-    aggregator.apply_report(told("n2", 1, a=1), 1)
+    aggregator.apply_report(report_of("n1", 1, a=1), 0)
+    aggregator.apply_report(report_of("n2", 1, a=1), 1)
     aggregator.expire(EXPIRY_NS - 1)
     assert aggregator.senders() == ["n1", "n2"]
     aggregator.expire(EXPIRY_NS)
@@ -141,10 +141,10 @@
     assert aggregator.total == {"a": ServerLoad("a", 1, 2)}
 
 
-def test_senders_are_bounded() -> None:
+def test_the_number_of_senders_is_limited() -> None:
     aggregator = LoadAggregator()
     for number in range(MAX_SENDERS):
-        assert aggregator.apply_report(told(f"n{number}", 1, a=1), 0)
-    assert not aggregator.apply_report(told("one more", 1, a=1), 0)
-    assert aggregator.apply_report(told("n0", 2, a=1), 0)
+        assert aggregator.apply_report(report_of(f"n{number}", 1, a=1), 0)
+    assert not aggregator.apply_report(report_of("one more", 1, a=1), 0)
+    assert aggregator.apply_report(report_of("n0", 2, a=1), 0)
     assert len(aggregator.senders()) == MAX_SENDERS
--- a/tests/placement/test_servers.py
+++ b/tests/placement/test_servers.py
@@ -31,7 +31,7 @@
     return server.avoid_until - now
 
 
-def test_the_backoff_doubles_with_each_failure_and_is_bounded() -> None:
+def test_the_backoff_doubles_with_each_failure_up_to_a_maximum() -> None:
     server, now, seen = only(listed("i-1")), NOW, []
     for _ in range(20):
         server.failed(now)
@@ -42,7 +42,7 @@
     assert seen[-1] == MAX_BACKOFF_NS
 
 
-def test_a_success_forgets_the_failures() -> None:
+def test_a_success_resets_the_backoff() -> None:
     server = only(listed("i-1"))
     for _ in range(5):
         server.failed(NOW)
@@ -52,7 +52,7 @@
     assert backoff(server, NOW) == INITIAL_BACKOFF_NS
 
 
-def test_a_rejection_is_short_and_never_shortens_a_backoff() -> None:
+def test_the_backoff_of_a_rejection_never_shortens_that_of_a_failure() -> None:
     server = only(listed("i-1"))
     server.rejected(NOW)
     assert backoff(server, NOW) == REJECTED_BACKOFF_NS
@@ -61,7 +61,7 @@
     assert backoff(server, NOW) == INITIAL_BACKOFF_NS
 
 
-def test_usable_means_ready_listed_and_not_avoided() -> None:
+def test_usable_means_ready_listed_and_without_backoff() -> None:
     table = table_with(listed("i-1"), listed("i-2", ready=False))
     ready, draining = table.servers["i-1"], table.servers["i-2"]
     assert ready.usable(NOW)
@@ -75,7 +75,7 @@
     assert draining.usable(NOW)
 
 
-def test_a_list_keeps_what_is_known_of_a_server_and_follows_its_entry() -> None:
+def test_a_new_list_updates_a_server_and_keeps_its_state() -> None:
     table = table_with(listed("i-1", m=2))
     server = table.servers["i-1"]
     server.began(3)
@@ -87,10 +87,10 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 9), st.booleans())))
-def test_revisions_never_go_back(told) -> None:
+def test_revisions_never_decrease(reports) -> None:
     table = table_with(listed("i-1", a=3))
     server = table.servers["i-1"]
-    for model, revision, by_list in told:
+    for model, revision, by_list in reports:
         before = dict(server.revisions)
         if by_list:
             table.apply_server_list([listed("i-1", **{model: revision})])
@@ -100,7 +100,7 @@
         assert all(server.revisions.get(name, 0) >= number for name, number in before.items())
 
 
-def test_busy_ends_with_a_newer_revision_alone() -> None:
+def test_only_a_newer_revision_ends_the_busy_mark() -> None:
     server = only(listed("i-1", m=2))
     server.mark_busy(True, NOW)
     server.record_revision("m", 2)
@@ -112,15 +112,15 @@
     assert server.usable(NOW - 1)
 
 
-def test_an_answer_of_an_earlier_request_does_not_open_a_server_that_takes_new_weights() -> None:
+def test_an_answer_to_an_earlier_request_does_not_end_the_busy_mark() -> None:
     server = only(listed("i-1", m=2))
     server.mark_busy(True, NOW)
     server.succeeded(0)
     assert not server.usable(NOW - 1)
 
 
-def test_the_end_of_a_busy_mark_leaves_the_back_off_of_failures() -> None:
-    """A server that was given up as it took no order is told of as busy no more: it may be gone."""
+def test_the_end_of_the_busy_mark_does_not_end_the_backoff_of_failures() -> None:
+    """A server that did not accept its order is no longer reported as busy, although it may have failed."""
     server = only(listed("i-1", m=2))
     server.mark_busy(True, NOW + 1)
     server.failed(NOW)
@@ -129,7 +129,7 @@
     assert server.usable(NOW + INITIAL_BACKOFF_NS)
 
 
-def test_a_refusal_while_it_takes_weights_does_not_outlast_them() -> None:
+def test_a_rejection_while_busy_does_not_cause_a_backoff() -> None:
     server = only(listed("i-1", m=2))
     server.mark_busy(True, NOW + 1)
     server.rejected(NOW)
@@ -138,24 +138,24 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["begin", "read", "end"]), st.integers(0, 5))))
-def test_counts_are_never_negative_and_end_at_nothing(steps) -> None:
+def test_requests_and_pending_chunks_match_what_was_begun_and_finished(steps) -> None:
     (server,) = servers(1)
-    unread: list[int] = []  # of the requests in flight
+    pending: list[int] = []  # of the requests in flight
 
-    def finish_reading(position: int) -> None:
-        server.prefill_finished(unread[position])
-        unread[position] = 0
+    def finish_prefill(position: int) -> None:
+        server.prefill_finished(pending[position])
+        pending[position] = 0
 
     for step, number in steps:
         if step == "begin":
             server.began(number)
-            unread.append(number)
-        elif unread and step == "read":
-            finish_reading(number % len(unread))
-        elif unread:
-            finish_reading(number % len(unread))
-            del unread[number % len(unread)]
+            pending.append(number)
+        elif pending and step == "read":
+            finish_prefill(number % len(pending))
+        elif pending:
+            finish_prefill(number % len(pending))
+            del pending[number % len(pending)]
             server.ended()
-        assert server.inflight == len(unread)
-        assert server.pending_chunks == sum(unread)
-        assert server.load == len(unread) + sum(unread) >= 0
+        assert server.inflight == len(pending)
+        assert server.pending_chunks == sum(pending)
+        assert server.load == len(pending) + sum(pending) >= 0
--- a/tests/relay_topics/test_catch_up.py
+++ b/tests/relay_topics/test_catch_up.py
@@ -1,4 +1,4 @@
-"""When a sidecar asks for what its hub did not push, and whom."""
+"""When a sidecar asks for updates that its hub did not push, and which member it asks."""
 
 from __future__ import annotations
 
@@ -13,87 +13,87 @@
 from iristrack.wire.messages import Version
 
 
-def known(**sequences: int) -> tuple[Version, ...]:
+def versions(**sequences: int) -> tuple[Version, ...]:
     return tuple(Version(topic, sequence) for topic, sequence in sequences.items())
 
 
-def test_what_the_hub_pushes_in_time_is_not_asked_for() -> None:
+def test_an_update_that_the_hub_pushes_in_time_is_not_requested() -> None:
     catch_up = CatchUp()
-    catch_up.record_versions("x", known(a=1), known(a=2), 0)
+    catch_up.record_versions("x", versions(a=1), versions(a=2), 0)
     assert catch_up.next_due() == PUSH_WAIT_NS
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS - 1) == set()
-    assert catch_up.take_due(known(a=2), PUSH_WAIT_NS) == set()
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS - 1) == set()
+    assert catch_up.take_due(versions(a=2), PUSH_WAIT_NS) == set()
     assert catch_up.next_due() is None
 
 
-def test_what_it_does_not_push_is_asked_for_where_it_was_heard_of_and_after_a_while_again() -> None:
+def test_a_missing_update_is_requested_from_the_announcing_member_and_later_again() -> None:
     catch_up = CatchUp()
-    catch_up.record_versions("x", known(a=1), known(a=2), 0)
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS) == {"x"}
-    catch_up.record_versions("x", known(a=1), known(a=2), PUSH_WAIT_NS + 1)
+    catch_up.record_versions("x", versions(a=1), versions(a=2), 0)
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS) == {"x"}
+    catch_up.record_versions("x", versions(a=1), versions(a=2), PUSH_WAIT_NS + 1)
     assert catch_up.next_due() == PUSH_WAIT_NS + SAME_SOURCE_NS
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS - 1) == set()
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS) == {"x"}
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS - 1) == set()
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS) == {"x"}
 
 
-def test_a_member_that_does_not_send_it_is_followed_by_the_next_soon() -> None:
+def test_if_a_member_does_not_answer_the_next_one_is_asked_soon() -> None:
     catch_up = CatchUp()
-    catch_up.record_versions("x", known(a=1), known(a=2), 0)
-    catch_up.record_versions("y", known(a=1), known(a=2), 1)
-    first = catch_up.take_due(known(a=1), PUSH_WAIT_NS)
+    catch_up.record_versions("x", versions(a=1), versions(a=2), 0)
+    catch_up.record_versions("y", versions(a=1), versions(a=2), 1)
+    first = catch_up.take_due(versions(a=1), PUSH_WAIT_NS)
     assert catch_up.next_due() == PUSH_WAIT_NS + NEXT_SOURCE_NS
-    second = catch_up.take_due(known(a=1), PUSH_WAIT_NS + NEXT_SOURCE_NS)
+    second = catch_up.take_due(versions(a=1), PUSH_WAIT_NS + NEXT_SOURCE_NS)
     assert first | second == {"x", "y"}
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS - 1) == set()
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS) == first
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS - 1) == set()
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS + SAME_SOURCE_NS) == first
 
 
-def test_a_topic_that_was_asked_for_does_not_hold_up_another() -> None:
+def test_a_requested_topic_does_not_delay_another() -> None:
     catch_up = CatchUp()
-    catch_up.record_versions("x", known(a=1, b=1), known(a=2, b=1), 0)
-    assert catch_up.take_due(known(a=1, b=1), PUSH_WAIT_NS) == {"x"}
-    catch_up.record_versions("x", known(a=1, b=1), known(b=2), PUSH_WAIT_NS)
-    assert catch_up.take_due(known(a=1, b=1), 2 * PUSH_WAIT_NS) == {"x"}
+    catch_up.record_versions("x", versions(a=1, b=1), versions(a=2, b=1), 0)
+    assert catch_up.take_due(versions(a=1, b=1), PUSH_WAIT_NS) == {"x"}
+    catch_up.record_versions("x", versions(a=1, b=1), versions(b=2), PUSH_WAIT_NS)
+    assert catch_up.take_due(versions(a=1, b=1), 2 * PUSH_WAIT_NS) == {"x"}
 
 
-def test_a_member_whose_connection_ended_is_asked_no_more() -> None:
+def test_a_member_whose_connection_ended_is_not_asked_again() -> None:
     catch_up = CatchUp()
-    catch_up.record_versions("x", known(a=1), known(a=2), 0)
-    catch_up.record_versions("y", known(a=1), known(a=2), 0)
+    catch_up.record_versions("x", versions(a=1), versions(a=2), 0)
+    catch_up.record_versions("y", versions(a=1), versions(a=2), 0)
     catch_up.source_lost("x")
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS) == {"y"}
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS) == {"y"}
     catch_up.source_lost("y")
     assert catch_up.next_due() is None
 
 
-def test_values_that_come_one_after_the_other_put_nothing_off() -> None:
-    """Each of a quick succession is newer than the one awaited; the wait counts from the first."""
+def test_newer_versions_do_not_postpone_the_request() -> None:
+    """If newer versions follow in quick succession, the wait still counts from the first one."""
     catch_up = CatchUp()
     step = PUSH_WAIT_NS // 8
     for number in range(8):
-        catch_up.record_versions("x", known(a=1), known(a=2 + number), number * step)
-    assert catch_up.take_due(known(a=1), PUSH_WAIT_NS) == {"x"}
+        catch_up.record_versions("x", versions(a=1), versions(a=2 + number), number * step)
+    assert catch_up.take_due(versions(a=1), PUSH_WAIT_NS) == {"x"}
 
 
-def test_a_value_that_has_come_begins_the_wait_anew_for_the_next() -> None:
+def test_the_wait_starts_again_after_an_update_has_arrived() -> None:
     catch_up = CatchUp()
-    catch_up.record_versions("x", known(a=1), known(a=2), 0)
-    catch_up.record_versions("x", known(a=2), known(a=3), PUSH_WAIT_NS)
-    assert catch_up.take_due(known(a=2), 2 * PUSH_WAIT_NS - 1) == set()
-    assert catch_up.take_due(known(a=2), 2 * PUSH_WAIT_NS) == {"x"}
+    catch_up.record_versions("x", versions(a=1), versions(a=2), 0)
+    catch_up.record_versions("x", versions(a=2), versions(a=3), PUSH_WAIT_NS)
+    assert catch_up.take_due(versions(a=2), 2 * PUSH_WAIT_NS - 1) == set()
+    assert catch_up.take_due(versions(a=2), 2 * PUSH_WAIT_NS) == {"x"}
 
 
-def test_nothing_newer_is_nothing_missing() -> None:
+def test_nothing_is_missing_without_newer_versions() -> None:
     catch_up = CatchUp()
-    catch_up.record_versions("x", known(a=2, b=1), known(a=2, b=0), 0)
+    catch_up.record_versions("x", versions(a=2, b=1), versions(a=2, b=0), 0)
     assert catch_up.next_due() is None
 
 
-def test_topics_and_sources_are_bounded() -> None:
+def test_the_numbers_of_topics_and_sources_are_limited() -> None:
     catch_up = CatchUp()
     for source in range(MAX_SOURCES + 5):
-        told = tuple(Version(str(n), 1) for n in range(MAX_TOPICS + 5))
-        catch_up.record_versions(source, (), told, 0)
+        announced = tuple(Version(str(n), 1) for n in range(MAX_TOPICS + 5))
+        catch_up.record_versions(source, (), announced, 0)
     asked = set()
     for round_number in range(MAX_SOURCES + 5):
         asked |= catch_up.take_due((), PUSH_WAIT_NS + round_number * SAME_SOURCE_NS)
--- a/tests/relay_topics/test_topics.py
+++ b/tests/relay_topics/test_topics.py
@@ -19,7 +19,7 @@
 
 
 @given(UPDATES)
-def test_the_highest_sequence_stands_and_of_equal_ones_the_first(updates) -> None:
+def test_the_highest_sequence_is_kept_and_of_equal_ones_the_first(updates) -> None:
     table = TopicTable()
     newest: dict[str, Update] = {}
     for update in updates:
@@ -33,7 +33,7 @@
 
 
 @given(UPDATES, UPDATES)
-def test_what_another_has_missed_brings_it_up_to_date_and_nothing_more(ours, theirs) -> None:
+def test_missed_updates_are_exactly_those_that_another_table_needs(ours, theirs) -> None:
     table, other = table_of(ours), table_of(theirs)
     missed = table.missed_by(other.versions())
     assert all(other.learn(update) for update in missed)
@@ -42,7 +42,7 @@
         assert other.get(version.topic).sequence >= version.sequence
 
 
-def test_one_who_knows_nothing_has_missed_everything_and_one_who_knows_all_nothing() -> None:
+def test_missed_updates_of_an_empty_and_of_a_complete_receiver() -> None:
     table = table_of([Update("a", 0, b"x"), Update("b", 7, b"y")])
     assert table.missed_by(()) == [Update("a", 0, b"x"), Update("b", 7, b"y")]
     assert table.missed_by(table.versions()) == []
@@ -50,20 +50,20 @@
 
 
 @given(UPDATES)
-def test_the_next_sequence_is_always_news(updates) -> None:
+def test_the_next_sequence_is_always_newer(updates) -> None:
     table = table_of(updates)
     for topic in ("a", "b", "new"):
         assert table.learn(Update(topic, table.next_sequence(topic), b""))
 
 
-def test_topics_are_bounded_and_the_known_ones_go_on() -> None:
+def test_the_number_of_topics_is_limited_and_known_ones_are_still_updated() -> None:
     table = table_of([Update(f"topic-{number}", 1, b"") for number in range(MAX_TOPICS)])
     assert not table.learn(Update("one more", 1, b""))
     assert table.learn(Update("topic-0", 2, b""))
     assert len(table.versions()) == MAX_TOPICS
 
 
-def test_later_member_sets_are_handed_on_under_the_topic_of_the_first() -> None:
-    told_as = {register: topic_of(register) for register in REGISTERS}
-    assert told_as.pop(MEMBER_SET) == MEMBERS
-    assert all(register == topic for register, topic in told_as.items())
+def test_later_member_sets_are_distributed_under_the_topic_of_the_first() -> None:
+    topics = {register: topic_of(register) for register in REGISTERS}
+    assert topics.pop(MEMBER_SET) == MEMBERS
+    assert all(register == topic for register, topic in topics.items())
