--- a/tests/duties/fleet.py
+++ b/tests/duties/fleet.py
@@ -1,4 +1,4 @@
-"""Processes that share a duty through a register, in virtual time: each with a clock, freezes and starts of its own."""
+"""Simulation of processes that share a duty through a register, each with its own clock, freezes and restarts."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 MS = 1_000_000
 LEASE_NS = 3_000 * MS
 TICK_NS = 100 * MS
-CLAIM_NS = 800 * MS
+CLAIM_TIMEOUT_NS = 800 * MS
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """How much goes wrong, as shares of events."""
+class FaultRates:
+    """Fault rates, as shares of events."""
 
     lost_answers: float = 0.0
     lost_updates: float = 0.0
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Act:
+class Action:
     at: int
     node: str
     process: str
@@ -41,12 +41,14 @@
 class Process:
     node: str
     number: int
-    clock_offset: int  # its monotonic clock began at another time
+    clock_offset: int  # of its monotonic clock
     lease: Lease
     frozen_until: int = 0
     claiming: bool = False
     ended: bool = False
-    held_back: list[Callable[[], None]] = field(default_factory=list)  # what happens to it while it is frozen
+    delayed_calls: list[Callable[[], None]] = field(
+        default_factory=list
+    )  # calls delayed until the end of its freeze
 
     def clock(self, now: int) -> int:
         return now + self.clock_offset
@@ -56,13 +58,13 @@
 
 
 class Fleet:
-    def __init__(self, count: int, seed: int, trouble: Trouble) -> None:
+    def __init__(self, count: int, seed: int, faults: FaultRates) -> None:
         self.rng = random.Random(seed)
-        self.trouble = trouble
+        self.faults = faults
         self.now = 10**12
         self.value = b""
-        self.acts: list[Act] = []
-        self.fences: list[tuple[str, str, int]] = []  # holder and fence, in the order of commits
+        self.actions: list[Action] = []
+        self.fences: list[tuple[str, str, int]] = []  # holder and fencing token, in commit order
         self.processes: list[Process] = []
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._sequence = 0
@@ -75,15 +77,15 @@
         self._sequence += 1
         heapq.heappush(self._events, (self.now + delay, self._sequence, call))
 
-    def run(self, span: int) -> None:
-        end = self.now + span
+    def run(self, span_ns: int) -> None:
+        end = self.now + span_ns
         while self._events and self._events[0][0] <= end:
             self.now, _, call = heapq.heappop(self._events)
             call()
             self.on_event()
 
     @property
-    def acting(self) -> list[Process]:
+    def active_processes(self) -> list[Process]:
         return [process for process in self.processes if process.may_act(self.now)]
 
     # ---- processes
@@ -96,29 +98,29 @@
         self.processes.append(process)
         self._tick(process)
 
-    def _to(self, process: Process, delay: int, call: Callable[[], None]) -> None:
-        """Have it happen to the process, at the end of its freeze if it is frozen then."""
+    def _deliver(self, process: Process, delay: int, call: Callable[[], None]) -> None:
+        """Deliver a call to the process after `delay`, or at the end of its freeze."""
 
         def arrive() -> None:
             if process.ended:
                 return
             if self.now < process.frozen_until:
-                process.held_back.append(call)
+                process.delayed_calls.append(call)
             else:
                 call()
 
         self.after(delay, arrive)
 
-    def freeze(self, process: Process, span: int) -> None:
-        process.frozen_until = self.now + span
+    def freeze(self, process: Process, span_ns: int) -> None:
+        process.frozen_until = self.now + span_ns
 
         def thaw() -> None:
-            held, process.held_back = process.held_back, []
-            self.rng.shuffle(held)
-            for call in held:
+            delayed, process.delayed_calls = process.delayed_calls, []
+            self.rng.shuffle(delayed)
+            for call in delayed:
                 call()
 
-        self.after(span, thaw)
+        self.after(span_ns, thaw)
 
     def end(self, process: Process) -> None:
         process.ended = True
@@ -134,25 +136,25 @@
             if lease.should_claim(now):
                 self._claim(process)
             elif lease.may_act(now):
-                self.acts.append(Act(self.now, process.node, lease.process, lease.holding.fence))
-        if rng.random() < self.trouble.restarts:
+                self.actions.append(Action(self.now, process.node, lease.process, lease.holding.fence))
+        if rng.random() < self.faults.restarts:
             self.end(process)
             return
-        if rng.random() < self.trouble.freezes:
+        if rng.random() < self.faults.freezes:
             self.freeze(process, rng.randrange(0, 9_000 * MS))
-        self._to(process, TICK_NS + rng.randrange(0, 20 * MS), lambda: self._tick(process))
+        self._deliver(process, TICK_NS + rng.randrange(0, 20 * MS), lambda: self._tick(process))
 
     # ---- the register
 
     def _claim(self, process: Process) -> None:
-        """As the duty does it: the change is applied once or not at all between the call and its answer or later."""
+        """Claim the duty; the change is applied at most once, before or after the claim times out."""
         rng = self.rng
         process.claiming = True
-        began = process.clock(self.now)
+        started_at = process.clock(self.now)
         change = claim_duty(process.lease.node, process.lease.process, process.lease.seen)
-        slow = rng.random() < self.trouble.slow_claims
-        travel = rng.randrange(0, 6_000 * MS if slow else 60 * MS)
-        lost = rng.random() < self.trouble.lost_answers
+        slow = rng.random() < self.faults.slow_claims
+        travel_ns = rng.randrange(0, 6_000 * MS if slow else 60 * MS)
+        lost = rng.random() < self.faults.lost_answers
         answered = False
 
         def answer(outcome: object, value: bytes) -> None:
@@ -160,9 +162,9 @@
             if not answered:
                 answered = True
                 process.claiming = False
-                self._take_answer(process, outcome, value, began)
+                self._take_answer(process, outcome, value, started_at)
 
-        def give_up() -> None:
+        def time_out() -> None:
             nonlocal answered
             if not answered:
                 answered = True
@@ -174,32 +176,32 @@
                 self._commit(outcome)
             if not lost:
                 value = self.value
-                self._to(process, rng.randrange(0, 60 * MS), lambda: answer(outcome, value))
+                self._deliver(process, rng.randrange(0, 60 * MS), lambda: answer(outcome, value))
 
-        self.after(travel, reach_register)
-        self._to(process, CLAIM_NS, give_up)
+        self.after(travel_ns, reach_register)
+        self._deliver(process, CLAIM_TIMEOUT_NS, time_out)
 
-    def _take_answer(self, process: Process, outcome: object, value: bytes, began: int) -> None:
+    def _take_answer(self, process: Process, outcome: object, value: bytes, started_at: int) -> None:
         now = process.clock(self.now)
-        told = decode_value(value, DutyValue)
+        decoded = decode_value(value, DutyValue)
         if isinstance(outcome, bytes):
-            process.lease.claimed(told, began, now)
+            process.lease.claimed(decoded, started_at, now)
         else:
-            process.lease.observe(told, now)
+            process.lease.observe(decoded, now)
 
     def _commit(self, value: bytes) -> None:
         self.value = value
-        told = decode_value(value, DutyValue)
-        self.fences.append((told.owner, told.process, told.fence))
+        decoded = decode_value(value, DutyValue)
+        self.fences.append((decoded.owner, decoded.process, decoded.fence))
         for process in self.processes:
-            self._tell(process, value)
+            self._publish(process, value)
 
-    def _tell(self, process: Process, value: bytes) -> None:
-        """By a push, or where that is lost by the repair that a heartbeat brings."""
-        lost = self.rng.random() < self.trouble.lost_updates
+    def _publish(self, process: Process, value: bytes) -> None:
+        """Deliver the value by a push, or by the catch-up after a heartbeat if the push is lost."""
+        lost = self.rng.random() < self.faults.lost_updates
         delay = self.rng.randrange(0, 5_000 * MS if lost else 80 * MS)
 
-        def hear() -> None:
+        def receive() -> None:
             process.lease.observe(decode_value(value, DutyValue), process.clock(self.now))
 
-        self._to(process, delay, hear)
+        self._deliver(process, delay, receive)
--- a/tests/prefix_index/test_catalog.py
+++ b/tests/prefix_index/test_catalog.py
@@ -30,7 +30,7 @@
 
 
 def kept(changes) -> dict:
-    """What a follower knows that takes each change in order."""
+    """Return what a receiver knows that applies each change in order."""
     known: dict = {}
     for change in changes:
         if change.reset:
@@ -44,7 +44,7 @@
 
 
 @given(CHANGES)
-def test_a_snapshot_tells_what_following_from_the_start_would_have_told(changes) -> None:
+def test_a_snapshot_equals_all_changes_from_the_start(changes) -> None:
     catalog = KeptCatalog()
     for change in changes:
         catalog.apply(change)
@@ -53,7 +53,7 @@
 
 
 @given(CHANGES)
-def test_an_index_that_is_told_of_changes_knows_just_these_parts(changes) -> None:
+def test_an_index_that_applies_the_changes_knows_exactly_these_parts(changes) -> None:
     index = PrefixIndex(1000)
     for change in changes:
         index.apply_change(change, 0)
@@ -66,7 +66,7 @@
                 assert index.kept_tokens(holder, salt, "m", (Part(part, 9),)) == tokens
 
 
-def test_a_full_catalog_takes_no_more_and_says_so() -> None:
+def test_a_full_catalog_refuses_and_counts_further_parts() -> None:
     catalog = KeptCatalog(max_entries=1)
     catalog.apply(KeptParts("h", False, "s", "m", (PartTokens("a", 1), PartTokens("b", 1))))
     assert (catalog.entries, catalog.refused) == (1, 1)
@@ -75,7 +75,7 @@
     assert (catalog.entries, catalog.refused) == (1, 1)
 
 
-def test_events_keep_their_order_and_a_list_voids_what_was_known() -> None:
+def test_events_keep_their_order_and_a_list_resets_the_holder() -> None:
     events = [
         KeptEvent(1, True, "s1", "a", 5, "m"),
         KeptEvent(2, False, "s1", "a", 0, "m"),
@@ -88,7 +88,7 @@
 
 
 @given(CHANGES, CHANGES)
-def test_fewer_rows_tell_the_same(before, changes) -> None:
+def test_coalesced_changes_have_the_same_effect(before, changes) -> None:
     rows = coalesce_changes(changes)
     assert kept([*before, *rows]) == kept([*before, *changes])
     assert len(rows) <= len(changes) + sum(row.reset for row in rows)
--- a/tests/prefix_index/test_digest.py
+++ b/tests/prefix_index/test_digest.py
@@ -1,4 +1,4 @@
-"""Digests: one watcher's knowledge of a holder, handed on."""
+"""Digests of one watcher's knowledge of a holder."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def events(first: int, *kept: tuple[str, int], epoch: int = 1, lost: bool = False) -> EventsAnswer:
-    told = tuple(
+    kept_events = tuple(
         KeptEvent(number, tokens > 0, SALT, part_id, tokens, MODEL)
         for number, (part_id, tokens) in enumerate(kept, first)
     )
-    return EventsAnswer(epoch, first + len(kept) - 1, lost, told)
+    return EventsAnswer(epoch, first + len(kept) - 1, lost, kept_events)
 
 
 def part(part_id: str, tokens: int) -> KeptPart:
@@ -34,7 +34,7 @@
     return HolderLog(A, "sidecar-1", max_changes, max_parts)
 
 
-def test_a_newcomer_gets_a_snapshot() -> None:
+def test_a_new_reader_gets_a_snapshot() -> None:
     watched = log()
     watched.record_events(events(1, ("a", 8), ("b", 9), ("a", 0)))
     snapshot = watched.since(None)
@@ -42,7 +42,7 @@
     assert snapshot == Snapshot(A, end, Cursor(1, 3), False, (part("b", 9),))
 
 
-def test_who_is_behind_gets_the_changes() -> None:
+def test_a_reader_that_is_behind_gets_the_changes() -> None:
     watched = log()
     watched.record_events(events(1, ("a", 8)))
     position = watched.position
@@ -57,7 +57,7 @@
     ]
 
 
-def test_who_is_at_the_end_gets_no_changes() -> None:
+def test_a_reader_that_is_up_to_date_gets_no_changes() -> None:
     watched = log()
     watched.record_events(events(1, ("a", 8)))
     delta = watched.since(watched.position)
@@ -65,7 +65,7 @@
     assert delta.changes == ()
 
 
-def test_who_is_too_far_behind_gets_a_snapshot() -> None:
+def test_a_reader_that_is_too_far_behind_gets_a_snapshot() -> None:
     watched = log(max_changes=2)
     watched.record_events(events(1, ("a", 1)))
     position = watched.position
@@ -75,7 +75,7 @@
     assert isinstance(watched.since(position), Snapshot)
 
 
-def test_positions_of_another_log_or_epoch_or_the_future_do_not_match() -> None:
+def test_positions_of_another_log_or_epoch_or_past_the_end_do_not_match() -> None:
     watched = log()
     watched.record_events(events(1, ("a", 8)))
     position = watched.position
@@ -86,7 +86,7 @@
     assert watched.since(None).kept == ()
 
 
-def test_a_list_is_handed_on_as_a_snapshot() -> None:
+def test_a_list_is_passed_on_as_a_snapshot() -> None:
     watched = log()
     watched.record_events(events(1, ("a", 8), lost=True))
     position = watched.position
@@ -94,7 +94,7 @@
     assert watched.since(position) == Snapshot(A, watched.position, Cursor(1, 9), False, (part("b", 9),))
 
 
-def test_the_parts_of_a_log_are_bounded() -> None:
+def test_the_number_of_parts_in_a_log_is_limited() -> None:
     watched = log(max_parts=2)
     watched.record_events(events(1, ("a", 1), ("b", 2), ("a", 3), ("c", 4)))
     assert watched.since(None).kept == (part("a", 3), part("c", 4))
@@ -113,7 +113,7 @@
     assert known(index) == {"b": 9, "c": 7}
 
 
-def test_a_delta_out_of_turn_is_refused_and_a_snapshot_asked_for() -> None:
+def test_a_delta_out_of_order_is_refused_and_a_snapshot_requested() -> None:
     watched, index = log(), PrefixIndex(100)
     watched.record_events(events(1, ("a", 8)))
     early = watched.position
@@ -127,7 +127,7 @@
     assert not PrefixIndex(100).apply_digest(stale, 3)
 
 
-def test_an_answer_of_the_holders_own_ends_the_watchers_numbering() -> None:
+def test_an_answer_of_the_holder_itself_invalidates_the_watchers_position() -> None:
     watched, index = log(), PrefixIndex(100)
     watched.record_events(events(1, ("a", 8)))
     for answer in (events(2, ("b", 9)), ListAnswer(1, 9, ())):
@@ -140,7 +140,7 @@
         assert index.position(A) is None
 
 
-def test_lost_events_are_handed_on_as_such() -> None:
+def test_a_loss_of_events_is_passed_on() -> None:
     watched, index = log(), PrefixIndex(100)
     watched.record_events(events(1, ("a", 8)))
     index.apply_digest(watched.since(None), 1)
@@ -161,7 +161,7 @@
         st.tuples(st.just("events"), st.lists(KEPT, max_size=4)),
         st.tuples(st.just("restart"), st.lists(KEPT, max_size=4)),
         st.tuples(st.just("list"), st.lists(KEPT, max_size=4, unique_by=lambda kept: kept[0])),
-        st.tuples(st.just("hand on"), st.just([])),
+        st.tuples(st.just("apply digest"), st.just([])),
         st.tuples(st.just("dropped"), st.just([])),
         st.tuples(st.just("new watcher"), st.just([])),
     ),
@@ -170,7 +170,7 @@
 
 
 @given(STEPS)
-def test_whoever_is_handed_on_to_knows_what_the_log_keeps(
+def test_an_index_that_applies_digests_knows_what_the_log_keeps(
     steps: list[tuple[str, list[tuple[str, int]]]],
 ) -> None:
     watched, index = log(), PrefixIndex(100)
--- a/tests/prefix_index/test_index.py
+++ b/tests/prefix_index/test_index.py
@@ -1,4 +1,4 @@
-"""The index: what is kept where, under which salt and model."""
+"""The index of parts kept by each holder, under a salt and model."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 def events(
     first: int, *kept: tuple[str, int], salt: str = SALT, epoch: int = 1, lost: bool = False
 ) -> EventsAnswer:
-    told = tuple(
+    kept_events = tuple(
         KeptEvent(number, tokens > 0, salt, part_id, tokens, MODEL)
         for number, (part_id, tokens) in enumerate(kept, first)
     )
-    return EventsAnswer(epoch, first + len(kept) - 1, lost, told)
+    return EventsAnswer(epoch, first + len(kept) - 1, lost, kept_events)
 
 
 def listed(next_token: int, *kept: tuple[str, int], epoch: int = 1) -> ListAnswer:
@@ -42,7 +42,7 @@
     return index.kept_tokens(holder, salt, model, PARTS)
 
 
-def test_nothing_is_known_at_first() -> None:
+def test_an_empty_index() -> None:
     index = PrefixIndex(10)
     assert kept(index) == 0
     assert index.cursor(A) == START_CURSOR
@@ -52,12 +52,12 @@
     assert (index.entries, index.holders, index.evicted, index.provisional) == (0, 0, 0, 0)
 
 
-def test_an_index_of_nothing_is_refused() -> None:
+def test_a_limit_of_zero_is_refused() -> None:
     with pytest.raises(ValueError):
         PrefixIndex(0)
 
 
-def test_a_part_counts_only_behind_whole_ones() -> None:
+def test_a_part_counts_only_after_fully_kept_ones() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("bb", 410), ("cc", 250)), 0)
     assert kept(index) == 0
@@ -77,13 +77,13 @@
     assert index.entries == 2
 
 
-def test_more_tokens_than_the_part_has_count_as_the_part() -> None:
+def test_more_tokens_than_the_part_has_count_as_the_whole_part() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 10_000)), 0)
     assert kept(index) == 800
 
 
-def test_a_part_without_tokens_hides_nothing_behind_it() -> None:
+def test_a_part_without_tokens_does_not_hide_later_parts() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("bb", 410)), 0)
     assert index.kept_tokens(A, SALT, MODEL, (Part("00", 0), Part("bb", 410))) == 410
@@ -91,7 +91,7 @@
     assert index.entries == 1
 
 
-def test_another_tenants_salt_or_another_versions_never_matches() -> None:
+def test_the_salt_of_another_tenant_or_version_never_matches() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 800), salt="v1/tenant-a"), 0)
     index.record_sent(B, "v1/tenant-a", MODEL, PARTS, 0)
@@ -108,7 +108,7 @@
     assert kept(index, model="other") == 0
 
 
-def test_the_source_that_keeps_the_most() -> None:
+def test_the_best_source_keeps_the_most_tokens() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 800)), 0)
     index.apply_events(B, events(1, ("aa", 800), ("bb", 300)), 0)
@@ -131,7 +131,7 @@
     assert index.cursor(B) == START_CURSOR
 
 
-def test_a_late_answer_changes_nothing() -> None:
+def test_an_answer_that_arrives_late_is_ignored() -> None:
     index = PrefixIndex(10)
     late = events(1, ("aa", 800), ("bb", 410))
     index.apply_events(A, late, 0)
@@ -141,7 +141,7 @@
     assert index.cursor(A) == Cursor(1, 3)
 
 
-def test_a_false_entry_goes_with_the_next_event_on_it() -> None:
+def test_a_wrong_entry_is_corrected_by_the_next_event() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 800)), 0)
     index.apply_events(A, events(2, ("aa", 0)), 0)
@@ -149,7 +149,7 @@
     assert index.entries == 0
 
 
-def test_an_event_on_an_unknown_part_that_is_gone() -> None:
+def test_an_event_that_drops_an_unknown_part() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 0)), 0)
     index.apply_events(A, events(2, ("bb", 410)), 0)
@@ -157,7 +157,7 @@
     assert index.entries == 1
 
 
-def test_a_changed_epoch_forgets_the_holder_alone() -> None:
+def test_a_new_epoch_resets_only_this_holder() -> None:
     index = PrefixIndex(10)
     for holder in (A, B):
         index.apply_events(holder, events(1, ("aa", 800), ("bb", 410)), 0)
@@ -172,7 +172,7 @@
     assert kept(index, A) == 1460
 
 
-def test_lost_events_leave_entries_that_are_uncertain_with_their_age() -> None:
+def test_after_lost_events_older_entries_are_uncertain() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 800)), 5 * MS)
     index.apply_events(A, events(9, ("bb", 410), lost=True), 8 * MS)
@@ -183,7 +183,7 @@
     assert index.cursor(A) == Cursor(1, 9)
 
 
-def test_a_list_replaces_everything_and_makes_certain() -> None:
+def test_a_list_replaces_everything_and_ends_uncertainty() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 800)), 0)
     index.apply_events(A, events(9, lost=True), 1)
@@ -195,14 +195,14 @@
     assert (index.entries, index.provisional) == (1, 0)
 
 
-def test_a_restart_makes_certain() -> None:
+def test_a_restart_ends_uncertainty() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(9, ("aa", 800), lost=True), 1)
     index.apply_events(A, events(1, ("aa", 800), epoch=2), 2)
     assert index.uncertain_since(A) is None
 
 
-def test_own_knowledge_lapses_unless_confirmed() -> None:
+def test_provisional_entries_expire_unless_confirmed() -> None:
     index = PrefixIndex(10)
     index.record_sent(A, SALT, MODEL, PARTS, 0)
     assert kept(index) == 1460
@@ -216,7 +216,7 @@
     assert (index.entries, index.provisional) == (1, 0)
 
 
-def test_own_knowledge_gives_way_to_what_the_holder_tells() -> None:
+def test_reports_of_the_holder_replace_provisional_entries() -> None:
     index = PrefixIndex(10)
     index.record_sent(A, SALT, MODEL, PARTS, 0)
     index.apply_events(A, events(1, ("aa", 512), ("bb", 0)), MS)
@@ -226,7 +226,7 @@
     assert kept(index) == 512
 
 
-def test_what_lapses_leaves_what_the_holder_had_told() -> None:
+def test_an_expired_provisional_entry_restores_the_holders_report() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 800), ("bb", 128)), 3)
     index.record_sent(A, SALT, MODEL, PARTS, 10)
@@ -237,7 +237,7 @@
     assert index.entry(A, SALT, MODEL, "bb") == Entry(128, 3, provisional=False, uncertain=False)
 
 
-def test_a_further_request_prolongs_own_knowledge() -> None:
+def test_a_further_request_extends_a_provisional_entry() -> None:
     index = PrefixIndex(10)
     index.record_sent(A, SALT, MODEL, PARTS[:2], 0)
     index.record_sent(A, SALT, MODEL, PARTS[:1], MS)
@@ -247,7 +247,7 @@
     assert kept(index) == 0
 
 
-def test_a_prolonged_entry_holds_up_no_other() -> None:
+def test_an_extended_entry_does_not_delay_the_expiry_of_others() -> None:
     index = PrefixIndex(10)
     index.record_sent(A, SALT, MODEL, PARTS[1:2], 0)
     index.record_sent(A, SALT, MODEL, PARTS[:1], 0)
@@ -257,21 +257,21 @@
     assert index.entry(A, SALT, MODEL, "bb") is not None
 
 
-def test_own_knowledge_lapses_with_any_later_call() -> None:
+def test_provisional_entries_expire_with_any_later_call() -> None:
     index = PrefixIndex(10)
     index.record_sent(A, SALT, MODEL, PARTS, 0)
     index.apply_events(B, events(1), PROVISIONAL_NS)
     assert kept(index) == 0
 
 
-def test_own_knowledge_is_not_told_away_by_a_loss_but_flagged() -> None:
+def test_a_loss_of_events_marks_provisional_entries_as_uncertain() -> None:
     index = PrefixIndex(10)
     index.record_sent(A, SALT, MODEL, PARTS, 0)
     index.apply_events(A, events(5, lost=True), 1)
     assert index.entry(A, SALT, MODEL, "aa") == Entry(800, 0, provisional=True, uncertain=True)
 
 
-def test_forget_drops_the_holder_and_its_cursor() -> None:
+def test_forget_removes_the_holder_and_its_cursor() -> None:
     index = PrefixIndex(10)
     index.apply_events(A, events(1, ("aa", 800)), 0)
     index.record_sent(A, SALT, MODEL, PARTS, 0)
@@ -286,7 +286,7 @@
     assert kept(index, B) == 800
 
 
-def test_a_full_index_gives_up_the_least_recently_touched() -> None:
+def test_a_full_index_evicts_the_least_recently_touched_entry() -> None:
     index = PrefixIndex(3)
     index.apply_events(A, events(1, ("aa", 800), ("bb", 410), ("cc", 250)), 0)
     index.record_sent(A, SALT, MODEL, PARTS[:1], 0)
@@ -296,7 +296,7 @@
     assert (index.entries, index.evicted) == (3, 1)
 
 
-def test_the_first_parts_of_a_request_give_way_last() -> None:
+def test_the_first_parts_of_a_request_are_evicted_last() -> None:
     index = PrefixIndex(3)
     index.record_sent(A, SALT, MODEL, PARTS, 0)
     index.apply_events(B, events(1, ("dd", 9)), 0)
@@ -305,7 +305,7 @@
     assert kept(index) == 800
 
 
-def test_an_evicted_provisional_entry_takes_none_with_it_when_it_would_lapse() -> None:
+def test_the_expiry_of_an_evicted_provisional_entry_affects_no_other_entry() -> None:
     index = PrefixIndex(1)
     index.record_sent(A, SALT, MODEL, PARTS[:1], 0)
     index.apply_events(B, events(1, ("aa", 800)), 1)
@@ -314,14 +314,14 @@
     assert kept(index, B) == 800
 
 
-def test_an_index_of_one_entry_takes_longer_prompts() -> None:
+def test_an_index_of_one_entry_accepts_longer_prompts() -> None:
     index = PrefixIndex(1)
     index.record_sent(A, SALT, MODEL, PARTS, 0)
     assert kept(index) == 800
     assert (index.entries, index.evicted) == (1, 2)
 
 
-def test_salts_that_are_gone_leave_nothing_behind() -> None:
+def test_salts_without_parts_use_no_memory() -> None:
     index = PrefixIndex(100)
     for version in range(1000):
         index.apply_events(A, events(2 * version + 1, ("aa", 800), salt=f"v{version}"), 0)
@@ -330,7 +330,7 @@
     assert not index._holders[A].spaces
 
 
-def test_slots_are_used_again() -> None:
+def test_slots_are_reused() -> None:
     index = PrefixIndex(100)
     for number in range(1000):
         index.apply_events(A, events(number + 1, (f"{number:x}", 5)), 0)
--- a/tests/prefix_index/test_kv_events.py
+++ b/tests/prefix_index/test_kv_events.py
@@ -1,4 +1,4 @@
-"""The answers of holders, and how a cursor follows them."""
+"""Parsing of the holders' answers, and the cursor that follows them."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 SECOND = KeptEvent(120, False, "s1", "91bd3f06", 128, "daka510000")
 
 
-def test_the_protocols_examples() -> None:
+def test_examples_of_the_protocol() -> None:
     assert parse_events(EVENTS) == EventsAnswer(77120, 120, False, (FIRST, SECOND))
     assert parse_list(LIST) == ListAnswer(77120, 120, (KeptPart("s1", "5c1e07a2", 800, "daka510000"),))
 
 
-def test_events_are_put_in_order() -> None:
+def test_events_are_sorted() -> None:
     answer = json.loads(EVENTS)
     answer["events"].reverse()
     assert parse_events(json.dumps(answer).encode()).events == (FIRST, SECOND)
 
 
-def test_no_salt_is_the_text_that_all_share() -> None:
+def test_a_null_salt_is_the_shared_salt() -> None:
     answer = json.loads(EVENTS)
     answer["events"][0][2] = None
     assert parse_events(json.dumps(answer).encode()).events[0].salt == ""
@@ -100,7 +100,7 @@
 
 
 @given(st.recursive(st.none() | st.booleans() | st.integers() | st.text(), lambda inner: st.lists(inner)))
-def test_no_odd_event_gets_through(row: Any) -> None:
+def test_arbitrary_values_are_not_accepted_as_events(row: Any) -> None:
     body = json.dumps({"epoch": 1, "next_token": 1, "lost": False, "events": [row]}).encode()
     with pytest.raises(MalformedAnswer):
         parse_events(body)
@@ -116,24 +116,28 @@
 
 
 def test_the_first_answer_sets_the_cursor() -> None:
-    step = advance(START_CURSOR, answer(7, [1, 2], 2))
-    assert (step.restarted, step.cursor, numbers(step.events)) == (False, Cursor(7, 2), [1, 2])
+    advanced = advance(START_CURSOR, answer(7, [1, 2], 2))
+    assert (advanced.restarted, advanced.cursor, numbers(advanced.events)) == (False, Cursor(7, 2), [1, 2])
 
 
-def test_events_up_to_the_cursor_are_left_out_and_it_never_goes_back() -> None:
-    step = advance(Cursor(7, 5), answer(7, [4, 5, 6], 6))
-    assert (step.cursor, numbers(step.events)) == (Cursor(7, 6), [6])
-    step = advance(Cursor(7, 5), answer(7, [2, 3], 3))
-    assert (step.cursor, numbers(step.events)) == (Cursor(7, 5), [])
+def test_events_up_to_the_cursor_are_skipped_and_it_never_decreases() -> None:
+    advanced = advance(Cursor(7, 5), answer(7, [4, 5, 6], 6))
+    assert (advanced.cursor, numbers(advanced.events)) == (Cursor(7, 6), [6])
+    advanced = advance(Cursor(7, 5), answer(7, [2, 3], 3))
+    assert (advanced.cursor, numbers(advanced.events)) == (Cursor(7, 5), [])
 
 
-def test_a_restart_has_the_events_asked_for_from_the_beginning() -> None:
-    step = advance(Cursor(7, 5), answer(8, [6, 7], 7))
-    assert (step.restarted, step.cursor, numbers(step.events)) == (True, Cursor(8, 0), [6, 7])
-    step = advance(step.cursor, answer(8, [1, 2, 3, 4, 5, 6, 7], 7))
-    assert (step.restarted, step.cursor, numbers(step.events)) == (False, Cursor(8, 7), [1, 2, 3, 4, 5, 6, 7])
+def test_after_a_restart_events_are_requested_from_the_beginning() -> None:
+    advanced = advance(Cursor(7, 5), answer(8, [6, 7], 7))
+    assert (advanced.restarted, advanced.cursor, numbers(advanced.events)) == (True, Cursor(8, 0), [6, 7])
+    advanced = advance(advanced.cursor, answer(8, [1, 2, 3, 4, 5, 6, 7], 7))
+    assert (advanced.restarted, advanced.cursor, numbers(advanced.events)) == (
+        False,
+        Cursor(8, 7),
+        [1, 2, 3, 4, 5, 6, 7],
+    )
 
 
-def test_a_gap_sets_the_cursor_to_what_the_holder_says() -> None:
-    step = advance(Cursor(7, 2**60), answer(7, [40], 41, lost=True))
-    assert (step.restarted, step.cursor, numbers(step.events)) == (False, Cursor(7, 41), [40])
+def test_after_a_gap_the_cursor_is_the_one_in_the_answer() -> None:
+    advanced = advance(Cursor(7, 2**60), answer(7, [40], 41, lost=True))
+    assert (advanced.restarted, advanced.cursor, numbers(advanced.events)) == (False, Cursor(7, 41), [40])
--- a/tests/prefix_index/test_parts.py
+++ b/tests/prefix_index/test_parts.py
@@ -1,4 +1,4 @@
-"""The header that lists a prompt's parts."""
+"""Parsing of the header that lists a prompt's parts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 PARTS = (Part("5c1e07a2", 800), Part("91bd3f06", 410), Part("e4402b7d", 250))
 
 
-def test_the_protocols_example() -> None:
+def test_example_of_the_protocol() -> None:
     assert parse_prefix(HEADER) == PARTS
 
 
@@ -38,7 +38,7 @@
     assert parse_prefix(b"  ") == ()
 
 
-def test_as_many_parts_as_allowed_and_one_more() -> None:
+def test_the_number_of_parts_is_limited() -> None:
     allowed = b",".join(b"%064x:%d" % (number, MAX_PART_TOKENS) for number in range(MAX_PARTS))
     assert len(parse_prefix(allowed)) == MAX_PARTS
     with pytest.raises(MalformedPrefix):
@@ -73,13 +73,13 @@
         b" " * 10_000,
     ],
 )
-def test_what_is_malformed(header: bytes) -> None:
+def test_malformed_headers_are_refused(header: bytes) -> None:
     with pytest.raises(MalformedPrefix):
         parse_prefix(header)
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_parsed_or_malformed(header: bytes) -> None:
+def test_any_bytes_are_parsed_or_refused_as_malformed(header: bytes) -> None:
     try:
         parts = parse_prefix(header)
     except MalformedPrefix:
@@ -96,6 +96,6 @@
         max_size=MAX_PARTS,
     )
 )
-def test_what_is_written_is_read(parts: list[Part]) -> None:
+def test_a_formatted_header_is_parsed_back(parts: list[Part]) -> None:
     header = ",".join(f"{part.id}:{part.tokens}" for part in parts)
     assert parse_prefix(header.encode()) == tuple(parts)
--- a/tests/prefix_index/test_pending_prefills.py
+++ b/tests/prefix_index/test_pending_prefills.py
@@ -1,4 +1,4 @@
-"""Single flight: who reads a shared part first."""
+"""Single flight: which server prefills a shared prefix first."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 PROMPT = (SYSTEM, DOCUMENT, OWN)
 
 
-def test_another_request_with_the_same_shared_parts_finds_the_reader() -> None:
+def test_a_request_with_the_same_shared_parts_finds_the_reader() -> None:
     reads = PendingPrefills()
     assert reads.reader(SALT, MODEL, PROMPT, 0) is None
     reads.begin(SALT, MODEL, PROMPT, A, 5)
     assert reads.reader(SALT, MODEL, (SYSTEM, DOCUMENT, OTHERS_OWN), 6) == Reader(A, 5)
 
 
-def test_the_longest_shared_beginning_counts() -> None:
+def test_the_longest_shared_prefix_counts() -> None:
     reads = PendingPrefills()
     reads.begin(SALT, MODEL, (SYSTEM, OWN), A, 1)
     reads.begin(SALT, MODEL, (SYSTEM, DOCUMENT, OWN), B, 2)
@@ -30,7 +30,7 @@
     assert reads.reader(SALT, MODEL, (SYSTEM, OTHERS_OWN), 3) == Reader(A, 1)
 
 
-def test_the_last_part_is_nobody_elses() -> None:
+def test_the_last_part_is_not_shared() -> None:
     reads = PendingPrefills()
     reads.begin(SALT, MODEL, (OWN,), A, 0)
     reads.begin(SALT, MODEL, (), A, 0)
@@ -39,7 +39,7 @@
     assert reads.reader(SALT, MODEL, (), 0) is None
 
 
-def test_a_part_behind_others_is_another_read() -> None:
+def test_a_part_after_others_is_a_different_prefix() -> None:
     reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     assert reads.reader(SALT, MODEL, (DOCUMENT, OTHERS_OWN), 0) is None
@@ -53,7 +53,7 @@
     assert reads.reader(SALT, "other", PROMPT, 0) is None
 
 
-def test_the_first_reader_stays() -> None:
+def test_the_first_reader_is_kept() -> None:
     reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     reads.begin(SALT, MODEL, PROMPT, B, 1)
@@ -61,7 +61,7 @@
     assert reads.reader(SALT, MODEL, PROMPT, 2) == Reader(A, 0)
 
 
-def test_only_the_reader_ends_a_read() -> None:
+def test_only_the_reader_ends_a_prefill() -> None:
     reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     reads.end(SALT, MODEL, PROMPT, B)
@@ -72,7 +72,7 @@
     assert len(reads) == 0
 
 
-def test_a_read_without_end_expires() -> None:
+def test_a_prefill_that_is_not_ended_expires() -> None:
     reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 10)
     assert reads.reader(SALT, MODEL, PROMPT, 10 + EXPIRY_NS - 1) == Reader(A, 10)
@@ -81,7 +81,7 @@
     assert reads.reader(SALT, MODEL, PROMPT, 10 + EXPIRY_NS) == Reader(B, 10 + EXPIRY_NS)
 
 
-def test_a_holder_that_is_gone_reads_nothing() -> None:
+def test_prefills_of_a_holder_that_is_gone_are_removed() -> None:
     reads = PendingPrefills()
     reads.begin(SALT, MODEL, PROMPT, A, 0)
     reads.begin("v2", MODEL, PROMPT, B, 0)
@@ -90,7 +90,7 @@
     assert reads.reader("v2", MODEL, PROMPT, 0) == Reader(B, 0)
 
 
-def test_the_oldest_reads_are_given_up_when_there_are_too_many() -> None:
+def test_the_oldest_prefills_are_evicted_at_the_limit() -> None:
     reads = PendingPrefills(most_reads=2)
     for number in range(3):
         reads.begin(f"v{number}", MODEL, (SYSTEM, OWN), A, number)
@@ -99,12 +99,12 @@
     assert reads.reader("v1", MODEL, (SYSTEM, OWN), 3) == Reader(A, 1)
 
 
-def test_no_room_at_all_is_refused() -> None:
+def test_a_limit_of_zero_is_refused() -> None:
     with pytest.raises(ValueError):
         PendingPrefills(most_reads=0)
 
 
-def test_what_a_reader_will_keep_is_told_by_the_longest_beginning_that_it_reads() -> None:
+def test_the_expected_tokens_are_those_of_the_longest_pending_prefix() -> None:
     reads = PendingPrefills()
     assert reads.expected(SALT, MODEL, PROMPT, 0) is None
     reads.begin(SALT, MODEL, (SYSTEM, OWN), A, 1)
--- a/tests/prefix_index/test_state_machine.py
+++ b/tests/prefix_index/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The index against a naive one, and against holders whose events come late, get lost or end with a restart."""
+"""Compare the index with a naive one, and with holders whose events are delayed, lost or reset by a restart."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     salt: str
     part_id: str
     tokens: int
-    told: int = 0  # tokens to fall back to
+    reported: int = 0  # tokens to restore on expiry
     deadline: int | None = None
 
 
 class NaiveIndex:
-    """One list, the least recently touched first; every call looks at all of it."""
+    """One list in the order of use, least recently touched first, that every call scans."""
 
     def __init__(self, most_entries: int) -> None:
         self.most_entries = most_entries
@@ -64,15 +64,15 @@
         for entry in list(self.entries):
             if entry.deadline is None or entry.deadline > now:
                 continue
-            if entry.told:
-                entry.tokens, entry.deadline = entry.told, None
+            if entry.reported:
+                entry.tokens, entry.deadline = entry.reported, None
             else:
                 self.entries.remove(entry)
 
     def drop_holder(self, holder: str) -> None:
         self.entries = [entry for entry in self.entries if entry.holder != holder]
 
-    def tell(self, holder: str, salt: str, part_id: str, tokens: int) -> None:
+    def report(self, holder: str, salt: str, part_id: str, tokens: int) -> None:
         if tokens:
             self.put(Known(holder, salt, part_id, tokens))
         elif (old := self.find(holder, salt, part_id)) is not None:
@@ -81,11 +81,11 @@
     def send(self, holder: str, salt: str, parts: tuple[Part, ...], now: int) -> None:
         for part in reversed(parts):
             old = self.find(holder, salt, part.id)
-            told = 0 if old is None else old.tokens if old.deadline is None else old.told
-            if told >= part.tokens:
+            reported = 0 if old is None else old.tokens if old.deadline is None else old.reported
+            if reported >= part.tokens:
                 self.put(old)
             else:
-                self.put(Known(holder, salt, part.id, part.tokens, told, now + PROVISIONAL_NS))
+                self.put(Known(holder, salt, part.id, part.tokens, reported, now + PROVISIONAL_NS))
 
     def kept_tokens(self, holder: str, salt: str, parts: tuple[Part, ...]) -> int:
         total = 0
@@ -99,7 +99,7 @@
 
 
 class AgainstTheNaiveIndex(RuleBasedStateMachine):
-    """Whatever is told, sent and forgotten, also in an index that is full: both know the same."""
+    """Both indexes have the same content after any reports, requests and removals, also when full."""
 
     @initialize(most_entries=st.integers(1, 12))
     def start(self, most_entries: int) -> None:
@@ -110,13 +110,13 @@
     @rule(
         holder=HOLDERS,
         kept=st.lists(KEPT, max_size=5),
-        behind=st.integers(0, 4),
-        ahead=st.integers(0, 2),
+        repeated=st.integers(0, 4),
+        skipped=st.integers(0, 2),
         lost=st.booleans(),
     )
-    def events(self, holder: str, kept: list, behind: int, ahead: int, lost: bool) -> None:
+    def events(self, holder: str, kept: list, repeated: int, skipped: int, lost: bool) -> None:
         epoch, since = self.naive.cursors.get(holder, (1, 0))
-        first = max(1, since + 1 - behind + ahead)
+        first = max(1, since + 1 - repeated + skipped)
         numbered = list(enumerate(kept, first))
         next_token = first + len(kept) - 1
         self.index.apply_events(holder, self.answer(epoch, next_token, lost, numbered), self.now)
@@ -124,7 +124,7 @@
         known_to = 0 if lost or holder not in self.naive.cursors else since
         for number, one in numbered:
             if number > known_to:
-                self.naive.tell(holder, *one)
+                self.naive.report(holder, *one)
         self.naive.cursors[holder] = (epoch, max(known_to, next_token))
 
     @rule(holder=HOLDERS, kept=st.lists(KEPT, max_size=5))
@@ -138,7 +138,7 @@
         if was_known:
             self.naive.drop_holder(holder)
         for one in kept:
-            self.naive.tell(holder, *one)
+            self.naive.report(holder, *one)
         self.naive.cursors[holder] = (epoch, 0 if was_known else len(kept))
 
     @rule(holder=HOLDERS, owned=OWNED, epoch=st.integers(1, 3), next_token=st.integers(0, 20))
@@ -148,7 +148,7 @@
         self.naive.expire(self.now)
         self.naive.drop_holder(holder)
         for one in owned:
-            self.naive.tell(holder, *one)
+            self.naive.report(holder, *one)
         self.naive.cursors[holder] = (epoch, next_token)
 
     @rule(holder=HOLDERS, salt=st.sampled_from(SALTS), parts=st.sampled_from(PROMPTS))
@@ -170,7 +170,7 @@
         self.naive.cursors.pop(holder, None)
 
     @invariant()
-    def both_know_the_same(self) -> None:
+    def both_have_the_same_content(self) -> None:
         assert self.index.entries == len(self.naive.entries) <= self.naive.most_entries
         assert self.index.evicted == self.naive.evicted
         assert self.index.provisional == sum(entry.deadline is not None for entry in self.naive.entries)
@@ -178,15 +178,15 @@
             assert self.index.cursor(holder) == cursor
         for salt in SALTS:
             for parts in PROMPTS:
-                self.same_coverage(salt, parts)
+                self.check_same_coverage(salt, parts)
 
-    def same_coverage(self, salt: str, parts: tuple[Part, ...]) -> None:
+    def check_same_coverage(self, salt: str, parts: tuple[Part, ...]) -> None:
         expected = {holder: self.naive.kept_tokens(holder, salt, parts) for holder in HOLDER_NAMES}
         assert self.index.coverage(salt, MODEL, parts, HOLDER_NAMES) == expected
-        most = max(expected.values())
-        first = next((holder for holder in HOLDER_NAMES if expected[holder] == most), None)
+        best_tokens = max(expected.values())
+        first = next((holder for holder in HOLDER_NAMES if expected[holder] == best_tokens), None)
         best = self.index.best_source(salt, MODEL, parts, HOLDER_NAMES, 1)
-        assert best == (first if most else None)
+        assert best == (first if best_tokens else None)
         for holder in HOLDER_NAMES:
             assert self.index.kept_tokens(holder, salt, MODEL, parts) == expected[holder]
 
@@ -200,7 +200,7 @@
 
 
 class SimulatedHolder:
-    """A holder that keeps parts, numbers its events and retains the newest."""
+    """A holder that keeps parts, numbers its events and retains the newest ones."""
 
     RETAINED = 6
 
@@ -219,7 +219,7 @@
         self.log.append(KeptEvent(len(self.log) + 1, added, salt, part_id, tokens, MODEL))
 
     def events(self, since: int, delayed: int = 0) -> EventsAnswer:
-        """All events past `since` but the newest `delayed`."""
+        """Return all events after `since` except the newest `delayed`."""
         shown = self.log[: len(self.log) - delayed]
         retained = shown[-self.RETAINED :]
         lost = bool(retained) and since + 1 < retained[0].number
@@ -232,13 +232,13 @@
 
 
 class AgainstHolders(RuleBasedStateMachine):
-    """However late, lost or false what was told before: once caught up, the index knows what each holder keeps."""
+    """After late, lost or wrong reports, an index that has caught up knows what each holder keeps."""
 
     @initialize()
     def start(self) -> None:
         self.index = PrefixIndex(1000)
         self.holders = {name: SimulatedHolder() for name in HOLDER_NAMES}
-        self.under_way: list[tuple[str, EventsAnswer]] = []
+        self.in_flight: list[tuple[str, EventsAnswer]] = []
         self.now = 0
 
     @rule(holder=HOLDERS, kept=KEPT)
@@ -255,13 +255,13 @@
         self.index.apply_events(holder, answer, self.now)
 
     @rule(holder=HOLDERS)
-    def ask_and_hear_later(self, holder: str) -> None:
-        self.under_way.append((holder, self.holders[holder].events(self.index.cursor(holder).since)))
+    def ask_and_apply_later(self, holder: str) -> None:
+        self.in_flight.append((holder, self.holders[holder].events(self.index.cursor(holder).since)))
 
     @rule()
-    def hear(self) -> None:
-        if self.under_way:
-            self.index.apply_events(*self.under_way.pop(), self.now)
+    def apply_delayed(self) -> None:
+        if self.in_flight:
+            self.index.apply_events(*self.in_flight.pop(), self.now)
 
     @rule(holder=HOLDERS)
     def list(self, holder: str) -> None:
@@ -273,7 +273,7 @@
 
     @rule(holder=HOLDERS)
     def catch_up(self, holder: str) -> None:
-        """Two more answers, as a restart has the events asked for anew, and a list where events are lost."""
+        """Apply two more answers, since events are requested again after a restart, and a list if events are lost."""
         self.now += PROVISIONAL_NS
         self.index.expire(self.now)
         for _ in range(2):
@@ -281,9 +281,9 @@
             self.index.apply_events(holder, answer, self.now)
         if self.index.uncertain_since(holder) is not None:
             self.index.apply_list(holder, self.holders[holder].list(), self.now)
-        self.knows_what_is_kept(holder)
+        self.check_what_is_kept(holder)
 
-    def knows_what_is_kept(self, holder: str) -> None:
+    def check_what_is_kept(self, holder: str) -> None:
         for salt in SALTS:
             for part_id in LENGTHS:
                 entry = self.index.entry(holder, salt, MODEL, part_id)
