--- a/tests/prefix_index/test_parts.py
+++ b/tests/prefix_index/test_parts.py
@@ -1,4 +1,4 @@
-"""The header that lists a prompt's parts."""
+"""Parsing of the header that lists a prompt's parts."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from iristrack.prefix_index.parts import (
-    MOST_PART_TOKENS,
-    MOST_PARTS,
+    MAX_PART_TOKENS,
+    MAX_PARTS,
     MalformedPrefix,
     Part,
     parse_prefix,
@@ -20,7 +20,7 @@
 PARTS = (Part("5c1e07a2", 800), Part("91bd3f06", 410), Part("e4402b7d", 250))
 
 
-def test_the_protocols_example() -> None:
+def test_example_of_the_protocol() -> None:
     assert parse_prefix(HEADER) == PARTS
 
 
@@ -38,13 +38,13 @@
     assert parse_prefix(b"  ") == ()
 
 
-def test_as_many_parts_as_allowed_and_one_more() -> None:
-    allowed = b",".join(b"%064x:%d" % (number, MOST_PART_TOKENS) for number in range(MOST_PARTS))
-    assert len(parse_prefix(allowed)) == MOST_PARTS
+def test_the_number_of_parts_is_limited() -> None:
+    allowed = b",".join(b"%064x:%d" % (number, MAX_PART_TOKENS) for number in range(MAX_PARTS))
+    assert len(parse_prefix(allowed)) == MAX_PARTS
     with pytest.raises(MalformedPrefix):
         parse_prefix(allowed + b",aa:1")
     with pytest.raises(MalformedPrefix):
-        parse_prefix(b",".join([b"a:1"] * (MOST_PARTS + 1)))
+        parse_prefix(b",".join([b"a:1"] * (MAX_PARTS + 1)))
 
 
 @pytest.mark.parametrize(
@@ -73,29 +73,29 @@
         b" " * 10_000,
     ],
 )
-def test_what_is_malformed(header: bytes) -> None:
+def test_malformed_headers_are_refused(header: bytes) -> None:
     with pytest.raises(MalformedPrefix):
         parse_prefix(header)
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_parsed_or_malformed(header: bytes) -> None:
+def test_any_bytes_are_parsed_or_refused_as_malformed(header: bytes) -> None:
     try:
         parts = parse_prefix(header)
     except MalformedPrefix:
         return
-    assert len(parts) <= MOST_PARTS
-    assert all(0 <= part.tokens <= MOST_PART_TOKENS for part in parts)
+    assert len(parts) <= MAX_PARTS
+    assert all(0 <= part.tokens <= MAX_PART_TOKENS for part in parts)
 
 
 @given(
     st.lists(
         st.builds(
-            Part, st.text("0123456789abcdef", min_size=1, max_size=16), st.integers(0, MOST_PART_TOKENS)
+            Part, st.text("0123456789abcdef", min_size=1, max_size=16), st.integers(0, MAX_PART_TOKENS)
         ),
-        max_size=MOST_PARTS,
+        max_size=MAX_PARTS,
     )
 )
-def test_what_is_written_is_read(parts: list[Part]) -> None:
+def test_a_formatted_header_is_parsed_back(parts: list[Part]) -> None:
     header = ",".join(f"{part.id}:{part.tokens}" for part in parts)
     assert parse_prefix(header.encode()) == tuple(parts)
