--- a/iristrack/register/__init__.py
+++ b/iristrack/register/__init__.py
@@ -1,7 +1,7 @@
-"""Compare-and-set registers (CASPaxos, Rystsov): one value per key, no log and no leader.
+"""Compare-and-set registers (CASPaxos, Rystsov): one value per key, without a log and without a leader.
 
-Any proposer changes a value, by expected value, in two rounds at a majority of the core members. The classes here only
-decide: they read no clock and no socket, and write no file. Times are in nanoseconds.
+Any proposer can change a value, conditional on the expected value, in two rounds at a majority of the core members. The
+classes in this package make decisions only: they use no clock, no socket and no file. Times are in nanoseconds.
 """
 
 from iristrack.register.acceptor import RECOVERY_KEY, Acceptor, Outcome, RegisterRecord, RegisterState
--- a/iristrack/register/effects.py
+++ b/iristrack/register/effects.py
@@ -1,4 +1,4 @@
-"""What the deciders of the register ask their host to do."""
+"""The effects that the proposer and the recovery request from their host."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call `on_timer` at this time (nanoseconds); it takes the place of the timer set before."""
+    """Call `on_timer` at this time (nanoseconds); replaces the timer set before."""
 
     at_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class Finished(Generic[Result]):
-    """The decider has ended with this result and asks for nothing more."""
+    """The state machine has ended with this result and requests no further effects."""
 
     result: Result
 
--- a/iristrack/register/identity.py
+++ b/iristrack/register/identity.py
@@ -1,4 +1,4 @@
-"""What all proposers and recoveries of one process share, so that their ballots and calls never meet."""
+"""State shared by all proposers and recoveries of one process, so that their ballots and call numbers are unique."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class ProposerIdentity:
-    """The name under which one process proposes, and what it has learned from acceptors.
+    """The proposer name of one process, and what it has learned from acceptors.
 
-    `name` must differ from every name ever used, also by earlier processes of the same node: the host joins the node's
-    name and a string drawn at the start of the process.
+    `name` must be unique among all proposers ever started, including earlier processes of the same node: the host
+    joins the node's name and a random string drawn at process start.
 
-    `incarnations` holds, per acceptor, the incarnation last heard from it. The host may add the one in a `Hello`, which
-    spares the first change a round.
+    `incarnations` maps each acceptor to its last reported incarnation. The host may add the one in a `Hello`, which
+    saves the first change a round.
     """
 
     def __init__(self, name: str, first_call: int = 0) -> None:
-        """Start without knowledge of any acceptor; calls are numbered from `first_call` + 1 on."""
+        """Start without knowledge of any acceptor; call numbers begin at `first_call` + 1."""
         self.name = name
         self.incarnations: dict[str, str] = {}
         self._rounds: dict[str, int] = {}
@@ -28,12 +28,12 @@
         return self._last_call
 
     def next_ballot(self, key: str) -> Ballot:
-        """Return a ballot above every one seen or made for the key."""
+        """Return a ballot above every one observed or created for the key."""
         number = self._rounds.get(key, 0) + 1
         self._rounds[key] = number
         return Ballot(number, self.name)
 
     def observe(self, key: str, ballot: Ballot) -> None:
-        """Note a ballot that an acceptor told of."""
+        """Record a ballot reported by an acceptor."""
         if ballot.round > self._rounds.get(key, 0):
             self._rounds[key] = ballot.round
--- a/tests/register/test_succession.py
+++ b/tests/register/test_succession.py
@@ -122,7 +122,7 @@
 
 def test_a_set_keeps_as_many_members_as_it_needs() -> None:
     assert seen(THREE, "ab", set(), 0, 10 * REMOVAL_DELAY_NS) is None
-    needed = MembershipPolicy(fewest=4)
+    needed = MembershipPolicy(min_members=4)
     needed.next_member_set(FOUR, "abc", set(), 0)
     assert needed.next_member_set(FOUR, "abc", set(), REMOVAL_DELAY_NS) is None
 
