--- a/iristrack/store/__init__.py
+++ b/iristrack/store/__init__.py
@@ -1,1 +1,1 @@
-"""Files that outlive the process: checkpoints and a journal of what was learned. Needs the extra `state`."""
+"""Persistent files: the acceptor's records, and checkpoints and journals of learned state. Needs the extra `state`."""
--- a/iristrack/store/acceptor_format.py
+++ b/iristrack/store/acceptor_format.py
@@ -1,11 +1,11 @@
 """The records of an acceptor's file, in the frames of `framing`.
 
-This file owns what stands in a payload, and reads a whole file's bytes. It opens no file.
+This module defines the payloads and parses the bytes of a whole file. It opens no file.
 
     payload  u8 record type, u8 schema version, Avro body
 
-A later record of a slot (a key's cell, a blob's name, the identity) takes the place of an earlier one. The value of a
-cell or a blob holds at most 8 MiB.
+A later record of a slot (a register's key, a blob's name, the identity) replaces an earlier one. The value of a
+register or a blob is limited to 8 MiB.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 from functools import cache
 
 from iristrack.register.acceptor import RegisterRecord
-from iristrack.store.framing import Cut, Frame, Framing, Read, TooLarge, Verdict
+from iristrack.store.framing import Frame, Framing, InvalidRecord, ReadResult, TooLarge, Verdict
 from iristrack.wire.codec import Codec, SpoiltBody
 
 MAGIC = b"IRISCELL"
 FORMAT = 1
-MOST_VALUE_BYTES = 8 * 1024 * 1024
-MOST_NAME_BYTES = 4096  # of a key, a blob's name, a node, an incarnation, a ballot's proposer
-MOST_RECORD_BYTES = MOST_VALUE_BYTES + 4 * MOST_NAME_BYTES
+MAX_VALUE_BYTES = 8 * 1024 * 1024
+MAX_NAME_BYTES = 4096  # limit for keys, blob names, nodes, incarnations and proposers
+MAX_RECORD_BYTES = MAX_VALUE_BYTES + 4 * MAX_NAME_BYTES
 
-FRAMING = Framing(MAGIC, FORMAT, MOST_RECORD_BYTES)
+FRAMING = Framing(MAGIC, FORMAT, MAX_RECORD_BYTES)
 _TAG = struct.Struct("<BB")
 
 
 @dataclass(frozen=True, slots=True)
 class IdentityRecord:
-    """Whose cells these are."""
+    """The owner of the registers in the file."""
 
-    incarnation: str  # drawn anew when the acceptor's disk is lost
+    incarnation: str  # a new one is drawn after the acceptor's disk was lost
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class BlobRecord:
-    """A named value beside the cells."""
+    """A named value stored beside the registers."""
 
     name: str
     value: bytes
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """What a record is the newest value of."""
+    """The identity of a stored item; a newer record of the same slot replaces the older one."""
 
     record_type: int
     name: str = ""
@@ -58,15 +58,15 @@
 
 @dataclass(slots=True)
 class Contents:
-    """What a file held, and how far it could be read."""
+    """The contents of a file, and how far it could be read."""
 
-    read: Read  # without records
+    read: ReadResult  # without records
     identity: IdentityRecord | None = None
     registers: dict[str, RegisterRecord] = field(default_factory=dict)
     blobs: dict[str, bytes] = field(default_factory=dict)
 
     def records(self) -> list[Record]:
-        """What it takes to write all of this anew, the identity first."""
+        """Return the records needed to rewrite the file, the identity first."""
         identity = [] if self.identity is None else [self.identity]
         blobs = [BlobRecord(name, value) for name, value in self.blobs.items()]
         return [*identity, *self.registers.values(), *blobs]
@@ -111,7 +111,7 @@
     schemas: Sequence[dict]
 
 
-_RECORD_TYPES = (  # a number is never used again
+_RECORD_TYPES = (  # record type numbers are never reused
     _RecordType(1, IdentityRecord, (_IDENTITY_SCHEMA,)),
     _RecordType(2, RegisterRecord, (_CELL_SCHEMA,)),
     _RecordType(3, BlobRecord, (_BLOB_SCHEMA,)),
@@ -121,12 +121,12 @@
 
 @cache
 def _codecs() -> dict[int, Codec]:
-    """The codecs by record type; made at the first use, which imports fastavro."""
+    """Return the codecs by record type; created on first use, which imports fastavro."""
     return {row.number: Codec(row.record_class, row.schemas) for row in _RECORD_TYPES}
 
 
 def slot_of(record: Record) -> Slot:
-    """The slot that a record fills."""
+    """Return the slot of a record."""
     number = _NUMBERS[type(record)]
     if isinstance(record, RegisterRecord):
         return Slot(number, record.key)
@@ -136,7 +136,7 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """A record in its frame; raises `TooLarge`."""
+    """Return the framed record; raises `TooLarge`."""
     _check_bounds(record)
     number = _NUMBERS[type(record)]
     codec = _codecs()[number]
@@ -154,15 +154,15 @@
     else:
         names = [record.name]
         size = len(record.value)
-    if size > MOST_VALUE_BYTES:
-        raise TooLarge(f"a value holds {size} bytes, {MOST_VALUE_BYTES} at most")
+    if size > MAX_VALUE_BYTES:
+        raise TooLarge(f"a value has {size} bytes; the limit is {MAX_VALUE_BYTES}")
     longest = max(len(name.encode()) for name in names)
-    if longest > MOST_NAME_BYTES:
-        raise TooLarge(f"a name holds {longest} bytes, {MOST_NAME_BYTES} at most")
+    if longest > MAX_NAME_BYTES:
+        raise TooLarge(f"a name has {longest} bytes; the limit is {MAX_NAME_BYTES}")
 
 
 def read_contents(data: bytes) -> Contents:
-    """Read a file's bytes to their longest valid prefix; the verdict is `COMPLETE` where that is all. Never raises."""
+    """Read the longest valid prefix of a file; the verdict is `COMPLETE` if that is all of it. Never raises."""
     contents = Contents(FRAMING.read_header(data))
     read = contents.read
     if read.verdict is not Verdict.PREFIX:
@@ -172,25 +172,25 @@
             frame = FRAMING.frame_at(data, read.end)
             _take(_decode_record(frame), contents)
             read.end = frame.end
-    except Cut as cut:
-        read.why = str(cut)
+    except InvalidRecord as error:
+        read.why = str(error)
     else:
         read.verdict = Verdict.COMPLETE
     return contents
 
 
 def _decode_record(frame: Frame) -> Record:
-    """What a frame carries; raises `Cut`."""
+    """Decode the record in a frame; raises `InvalidRecord`."""
     if len(frame.payload) < _TAG.size:
-        raise Cut(f"no record at byte {frame.begin}")
+        raise InvalidRecord(f"not a valid record at byte {frame.begin}")
     number, version = _TAG.unpack_from(frame.payload)
     codec = _codecs().get(number)
     if codec is None:
-        raise Cut(f"a record of unknown type {number} at byte {frame.begin}")
+        raise InvalidRecord(f"a record of unknown type {number} at byte {frame.begin}")
     try:
         return codec.decode(version, frame.payload[_TAG.size :])
-    except SpoiltBody as fault:
-        raise Cut(f"no record at byte {frame.begin}: {fault}") from fault
+    except SpoiltBody as error:
+        raise InvalidRecord(f"not a valid record at byte {frame.begin}: {error}") from error
 
 
 def _take(record: Record, contents: Contents) -> None:
--- a/iristrack/store/acceptor_store.py
+++ b/iristrack/store/acceptor_store.py
@@ -1,14 +1,15 @@
-"""What an acceptor must not forget, in one folder: its identity, its cells and a few named blobs.
+"""The durable state of an acceptor in one folder: its identity, its registers and a few named blobs.
 
-This file owns the folder's names and the order of writing. What a completed `append` was given is there after any
-crash; what a failed one was given may be there or not.
+This module defines the file names and the order of writes. Records of a completed `append` survive any crash; records
+of a failed one may or may not.
 
-    cells.N   written as cells.N.new with all live records, synced, renamed, the folder synced; then appended to. Of
-              several the greatest N counts: the others were on their way out
-    lock      held while a process uses the folder
+    cells.N   written as cells.N.new with all live records, synced, renamed, the folder synced; then appended to. If
+              there are several, the greatest N counts: the others were about to be removed
+    lock      locked while a process uses the folder
 
-Nothing is ever written behind bytes that may be spoilt: after an opening or a failed call the next file is begun.
-Bounds: a value of 8 MiB, 64 MiB of live records; a file is rewritten when it would pass 1 MiB and four times those.
+Nothing is ever appended to bytes that may be corrupt: after opening, and after a failed call, a new file is begun.
+Limits: 8 MiB for a value, 64 MiB for all live records; a file is rewritten when it would exceed both 1 MiB and four
+times the size of its live records.
 """
 
 from __future__ import annotations
@@ -53,21 +54,21 @@
     "open_acceptor_store",
 ]
 
-MOST_LIVE_BYTES = 64 * 1024 * 1024
-REWRITE_BYTES = 1024 * 1024  # a file up to this size is never rewritten for its length
-REWRITE_FACTOR = 4  # times the live records
-MOST_FILE_BYTES = (REWRITE_FACTOR + 1) * MOST_LIVE_BYTES  # what an opening reads at most
+MAX_LIVE_BYTES = 64 * 1024 * 1024
+REWRITE_BYTES = 1024 * 1024  # a file up to this size is never rewritten because of its size
+REWRITE_FACTOR = 4  # a larger file is rewritten beyond this multiple of its live records
+MAX_FILE_BYTES = (REWRITE_FACTOR + 1) * MAX_LIVE_BYTES  # the largest file that is read
 LOCK_NAME = "lock"
 NEW_SUFFIX = ".new"
 _FILE_NAME = re.compile(r"cells\.(\d{1,18})(\.new)?$")
 
 
 class AcceptorStoreError(Exception):
-    """A folder or a record that cannot be used; nothing was changed."""
+    """A folder or a record that cannot be used; nothing was modified."""
 
 
 class FolderBusy(AcceptorStoreError):
-    """Another process has the folder."""
+    """Another process uses the folder."""
 
 
 class NewerFormat(AcceptorStoreError):
@@ -79,36 +80,36 @@
 
 
 class UnreadableFile(AcceptorStoreError):
-    """The folder's file is over the bound of what is read."""
+    """The folder's file is larger than `MAX_FILE_BYTES`."""
 
 
 class MissingIdentity(AcceptorStoreError):
-    """The first append to an empty folder holds no `IdentityRecord`."""
+    """The first append to an empty folder contains no `IdentityRecord`."""
 
 
 class StoreFull(OSError):
-    """The live records would be over `MOST_LIVE_BYTES`."""
+    """The live records would exceed `MAX_LIVE_BYTES`."""
 
 
 @dataclass(slots=True)
 class OpenedAcceptorStore:
-    """What a folder held, and the store that goes on writing to it."""
+    """The contents of a folder, and the store that continues writing to it."""
 
     store: AcceptorStore
-    identity: IdentityRecord | None = None  # None: nothing was there, or nothing of it can be used
+    identity: IdentityRecord | None = None  # None: the folder was empty or contained nothing usable
     registers: dict[str, RegisterRecord] = field(default_factory=dict)
     blobs: dict[str, bytes] = field(default_factory=dict)
-    notes: list[str] = field(default_factory=list)  # what was left out, and why
+    notes: list[str] = field(default_factory=list)  # what was ignored, and why
 
 
 def open_acceptor_store(folder: str, node: str, files: FileSystem | None = None) -> OpenedAcceptorStore:
-    """Lock the folder, read what it holds and have that on the disk.
+    """Lock the folder, read its contents and sync them.
 
-    Raises `FolderBusy`, `NewerFormat`, `ForeignFolder`, `UnreadableFile`, and `OSError` for a call that failed; the
-    folder is let go of then.
+    Raises `FolderBusy`, `NewerFormat`, `ForeignFolder`, `UnreadableFile`, and `OSError` for a failed call; the folder
+    is then released.
     """
     files = files or LocalFileSystem()
-    files.make(folder)
+    files.create_folder(folder)
     try:
         lock = files.lock(f"{folder}/{LOCK_NAME}")
     except BlockingIOError:
@@ -122,27 +123,27 @@
 
 
 class AcceptorStore:
-    """One process's use of a folder, made by `open_acceptor_store`. Not for use by two threads at once."""
+    """One process's access to a folder, created by `open_acceptor_store`. Not thread-safe."""
 
     def __init__(self, folder: str, node: str, files: FileSystem, lock: int) -> None:
         """`lock` is the handle of the folder's lock file."""
         self.folder = folder
         self.node = node
-        self.file_bytes = 0  # of the present file
+        self.file_bytes = 0  # of the current file
         self.live_bytes = 0
         self._files = files
         self._lock = lock
-        self._live: dict[Slot, bytes] = {}  # the newest record of each slot, in its frame
-        self._generation = -1  # the highest number that was ever used
-        self._handle = -1  # of the present file; -1: the next append begins a new one
-        self._outdated: list[str] = []  # names to remove behind the next rewrite
+        self._live: dict[Slot, bytes] = {}  # the newest framed record of each slot
+        self._generation = -1  # the highest number used so far
+        self._handle = -1  # of the current file; -1: the next append begins a new one
+        self._outdated: list[str] = []  # names to remove after the next rewrite
 
     # ---- reading
 
     def open(self) -> OpenedAcceptorStore:
-        """Read the newest file, and write what it held into a new one; called once, by `open_acceptor_store`."""
+        """Read the newest file and rewrite its contents to a new one; called once, by `open_acceptor_store`."""
         opened = OpenedAcceptorStore(self)
-        newest = self._survey(self._files.names(self.folder))
+        newest = self._scan_names(self._files.list_names(self.folder))
         if newest is None:
             return opened
         contents = self._read(newest, opened.notes)
@@ -153,12 +154,12 @@
         opened.identity = contents.identity
         opened.registers = contents.registers
         opened.blobs = contents.blobs
-        # What was read may not be on the disk yet, and its tail may be spoilt: both end with a new file.
+        # What was read may not be synced yet, and the tail of the file may be corrupt: a new file resolves both.
         self._rewrite({slot_of(record): encode_record(record) for record in contents.records()})
         return opened
 
-    def _survey(self, names: list[str]) -> str | None:
-        """Note the names in use; the newest file's."""
+    def _scan_names(self, names: list[str]) -> str | None:
+        """Record the file names in use; return the name of the newest complete file, if any."""
         newest, newest_generation = None, -1
         for name in names:
             match = _FILE_NAME.match(name)
@@ -172,44 +173,46 @@
         return newest
 
     def _read(self, name: str, notes: list[str]) -> Contents:
-        data = self._files.read(self._path(name), MOST_FILE_BYTES + 1)
-        if len(data) > MOST_FILE_BYTES:
-            raise UnreadableFile(f"{self._path(name)} holds over {MOST_FILE_BYTES} bytes")
+        data = self._files.read(self._path(name), MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise UnreadableFile(f"{self._path(name)} is larger than {MAX_FILE_BYTES} bytes")
         contents = read_contents(data)
         read = contents.read
         if read.verdict is Verdict.NEWER:
             raise NewerFormat(f"{self._path(name)}: {read.why}; written by {read.writer}")
         if read.why:
-            notes.append(f"{name}: {read.why}; {len(data) - read.end} of {len(data)} bytes are left out")
+            notes.append(f"{name}: {read.why}; {len(data) - read.end} of {len(data)} bytes are ignored")
         elif contents.identity is None:
-            notes.append(f"{name}: it says nothing of its owner")
+            notes.append(f"{name}: it has no identity record")
         return contents
 
     # ---- writing
 
     def append(self, records: Sequence[Record]) -> None:
-        """Have records on the disk; of several for one slot the last counts.
+        """Write and sync records; of several for one slot the last one counts.
 
-        A loss of power meanwhile keeps the first few of these, in the order in which the slots were last given.
-        Raises `OSError`, after which they may be on the disk or not, and `StoreFull`; `TooLarge`, `MissingIdentity` and
-        `ForeignFolder`, before anything is written.
+        If power is lost meanwhile, a prefix of them is kept, in the order of the last record of each slot. Raises
+        `OSError`, after which they may or may not be on the disk. Raises `StoreFull`, `TooLarge`, `MissingIdentity` and
+        `ForeignFolder` before anything is written.
         """
         if not records:
             return
         self._check_identity(records)
         changes = _last_of_each_slot(records)
         live_bytes = self.live_bytes + self._growth(changes)
-        if live_bytes > MOST_LIVE_BYTES:
-            raise StoreFull(errno.ENOSPC, f"{live_bytes} bytes of live records, {MOST_LIVE_BYTES} at most")
+        if live_bytes > MAX_LIVE_BYTES:
+            raise StoreFull(
+                errno.ENOSPC, f"{live_bytes} bytes of live records; the limit is {MAX_LIVE_BYTES}"
+            )
         added = sum(len(data) for data in changes.values())
-        longest = max(REWRITE_BYTES, REWRITE_FACTOR * live_bytes)
-        if self._handle < 0 or self.file_bytes + added > longest:
+        max_file_bytes = max(REWRITE_BYTES, REWRITE_FACTOR * live_bytes)
+        if self._handle < 0 or self.file_bytes + added > max_file_bytes:
             self._rewrite({**self._live, **changes})
         else:
-            self._extend(changes)
+            self._append_to_file(changes)
 
     def close(self) -> None:
-        """Let go of the folder; harmless when that was done."""
+        """Release the folder; does nothing if it was released already."""
         self._close_file()
         if self._lock >= 0:
             lock, self._lock = self._lock, -1
@@ -222,20 +225,20 @@
             if identity.node != self.node:
                 raise ForeignFolder(f"{self.folder} belongs to {self.node}, not to {identity.node}")
         if not self._live and not identities:
-            raise MissingIdentity(f"{self.folder} has no owner yet")
+            raise MissingIdentity(f"{self.folder} has no identity record yet")
 
     def _growth(self, changes: dict[Slot, bytes]) -> int:
-        """By how many bytes the live records grow."""
+        """Return the growth of the live records in bytes."""
         return sum(len(data) - len(self._live.get(slot, b"")) for slot, data in changes.items())
 
-    def _extend(self, changes: dict[Slot, bytes]) -> None:
-        """Write records behind those of the present file."""
+    def _append_to_file(self, changes: dict[Slot, bytes]) -> None:
+        """Append records to the current file."""
         data = b"".join(changes.values())
         try:
             self._write(self._handle, data)
             self._files.sync_data(self._handle)
         except OSError:
-            # Nobody knows what stands there now: the file is not written to again.
+            # The contents of the file are unknown now, so it is never written to again.
             self._close_file()
             raise
         self.file_bytes += len(data)
@@ -243,7 +246,7 @@
         self._live.update(changes)
 
     def _rewrite(self, live: dict[Slot, bytes]) -> None:
-        """Begin the next file with these records, and remove those before it."""
+        """Begin the next file with these records, and remove the earlier files."""
         self._close_file()
         self._generation += 1
         name = f"cells.{self._generation}"
@@ -276,7 +279,7 @@
             rest = rest[written:]
 
     def _remove_outdated(self) -> None:
-        """Remove what no reader needs; what cannot be removed is tried again behind the next rewrite."""
+        """Remove outdated files; failed removals are retried after the next rewrite."""
         kept = []
         for name in self._outdated:
             try:
@@ -298,7 +301,7 @@
 
 
 def _last_of_each_slot(records: Sequence[Record]) -> dict[Slot, bytes]:
-    """The framed records by their slots, in the order of the last record of each."""
+    """Return the framed records by slot, in the order of the last record of each."""
     changes: dict[Slot, bytes] = {}
     for record in records:
         slot = slot_of(record)
--- a/iristrack/store/files.py
+++ b/iristrack/store/files.py
@@ -1,6 +1,6 @@
-"""The calls on the file system that the store makes, each one on its own, so that tests can fail every one of them.
+"""The file system calls of the stores, one method per call, so that tests can make each of them fail.
 
-This file owns nothing but these calls. It must never decide what to do when one fails.
+This module only makes the calls; it does not handle their failures.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class FileSystem(Protocol):
-    """What the store needs of a file system. Every call may raise OSError."""
+    """The file system operations that the stores use. Every call may raise OSError."""
 
-    def make(self, path: str) -> None: ...  # noqa: D102
-    def names(self, path: str) -> list[str]: ...  # noqa: D102
-    def read(self, path: str, most: int) -> bytes: ...  # noqa: D102
+    def create_folder(self, path: str) -> None: ...  # noqa: D102
+    def list_names(self, path: str) -> list[str]: ...  # noqa: D102
+    def read(self, path: str, max_bytes: int) -> bytes: ...  # noqa: D102
     def create(self, path: str) -> int: ...  # noqa: D102
     def write(self, handle: int, data: bytes) -> int: ...  # noqa: D102
     def sync(self, handle: int) -> None: ...  # noqa: D102
@@ -28,50 +28,50 @@
 
 
 class LocalFileSystem:
-    """The real ones."""
+    """The operations of the operating system."""
 
-    def make(self, path: str) -> None:
-        """Make a folder, if it is not there."""
+    def create_folder(self, path: str) -> None:
+        """Create a folder if it does not exist."""
         os.makedirs(path, exist_ok=True)
 
-    def names(self, path: str) -> list[str]:
-        """The names in a folder, sorted."""
+    def list_names(self, path: str) -> list[str]:
+        """Return the names in a folder, sorted."""
         return sorted(os.listdir(path))
 
-    def read(self, path: str, most: int) -> bytes:
-        """The first `most` bytes of a file."""
+    def read(self, path: str, max_bytes: int) -> bytes:
+        """Return the first `max_bytes` bytes of a file."""
         handle = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         try:
-            parts, left = [], most
-            while left > 0 and (part := os.read(handle, min(left, 1 << 20))):
+            parts, remaining = [], max_bytes
+            while remaining > 0 and (part := os.read(handle, min(remaining, 1 << 20))):
                 parts.append(part)
-                left -= len(part)
+                remaining -= len(part)
             return b"".join(parts)
         finally:
             os.close(handle)
 
     def create(self, path: str) -> int:
-        """Open a new file for writing; what had its name is cut to nothing."""
+        """Open a new file for writing; an existing file of that name is truncated."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
 
     def write(self, handle: int, data: bytes) -> int:
-        """Write some of the data; how many bytes."""
+        """Write some of the data; return the number of bytes written."""
         return os.write(handle, data)
 
     def sync(self, handle: int) -> None:
-        """Have it on the disk."""
+        """Sync the file's data and metadata to the disk."""
         os.fsync(handle)
 
     def sync_data(self, handle: int) -> None:
-        """Have its bytes and its length on the disk, if not its times."""
+        """Sync the file's data and length to the disk, but not its timestamps."""
         os.fdatasync(handle)
 
     def close(self, handle: int) -> None:
-        """Close it."""
+        """Close the file."""
         os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Give it its name, in one step."""
+        """Rename a file atomically, replacing the target."""
         os.replace(old, new)
 
     def remove(self, path: str) -> None:
@@ -79,7 +79,7 @@
         os.unlink(path)
 
     def sync_folder(self, path: str) -> None:
-        """Have the folder's names on the disk."""
+        """Sync the names in a folder to the disk."""
         handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(handle)
@@ -87,7 +87,7 @@
             os.close(handle)
 
     def lock(self, path: str) -> int:
-        """Lock a folder's lock file, or raise BlockingIOError while another process has it."""
+        """Lock a folder's lock file; raises BlockingIOError while another process holds the lock."""
         handle = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/iristrack/store/sidecar_state.py
+++ b/iristrack/store/sidecar_state.py
@@ -1,7 +1,7 @@
-"""Keeps what a running sidecar learns, and gives a starting one what it may believe of it.
+"""Persists what a running sidecar learns, and gives a starting one the part of it that is still recent enough.
 
-This file owns the hand-over between the loop, the writer and the rule of trust. It must never keep a running loop
-waiting, nor a sidecar from starting: whatever a folder holds or fails at is one log line.
+This module connects the event loop, the writer and the ageing of stored values. It never blocks a running loop and
+never prevents a sidecar from starting: any error in a folder only produces one log line.
 """
 
 from __future__ import annotations
@@ -21,53 +21,53 @@
 if TYPE_CHECKING:
     from iristrack.runtime.scheduler import Scheduler
 
-EVERY_NS = mi.NS_PER_S
-LAST_WRITE_S = 0.5  # how long the end of the process waits for the last checkpoint
+SNAPSHOT_INTERVAL_NS = mi.NS_PER_S
+FINAL_WRITE_TIMEOUT_S = 0.5  # how long process exit waits for the final checkpoint
 
 
 class SidecarState:
-    """One sidecar's state in one folder."""
+    """The persisted state of one sidecar in one folder."""
 
     def __init__(
-        self, folder: str, name: str, say: Callable[[str], None], tell: Callable[[str], None]
+        self, folder: str, name: str, log_warning: Callable[[str], None], log_info: Callable[[str], None]
     ) -> None:
-        """`say` takes warnings, `tell` what is only of interest."""
-        self.tell = tell
-        self.say = say
+        """`log_warning` takes warnings, `log_info` informational lines."""
+        self.log_info = log_info
+        self.log_warning = log_warning
         self.name = name
-        self.writer = StateWriter(StateStore(folder, __version__, say), name, say)
+        self.writer = StateWriter(StateStore(folder, __version__, log_warning), name, log_warning)
 
     def start(self, settings: mi.Settings) -> dict | None:
-        """Lock the folder and weigh what it holds: what `Balancer` takes as `learned`, or None."""
-        found = self.writer.start()
-        for note in found.notes:
-            self.say(f"state: {note}")
+        """Lock the folder and read it; return the `learned` argument of `Balancer`, or None."""
+        stored = self.writer.start()
+        for note in stored.notes:
+            self.log_warning(f"state: {note}")
         try:
-            unpacked = unpack(found.records + found.changes)
+            unpacked = unpack(stored.records + stored.changes)
             if unpacked is None:
                 return None
             snapshot, meta = unpacked
-            age = time.time_ns() - meta["at"]
-            learned = age_snapshot(snapshot, Balancer(settings, 0).snapshot(0), age)
-        except ValueError as fault:
-            self.say(f"state: nothing is used: {fault}")
+            age_ns = time.time_ns() - meta["at"]
+            learned = age_snapshot(snapshot, Balancer(settings, 0).snapshot(0), age_ns)
+        except ValueError as error:
+            self.log_warning(f"state: nothing is used: {error}")
             return None
         if learned is None:
-            self.say(f"state: nothing is used: it is {-age / 1e9:.1f} s ahead of the clock")
+            self.log_warning(f"state: nothing is used: it is {-age_ns / 1e9:.1f} s ahead of the clock")
         else:
-            self.tell(f"state: {len(learned['servers'])} servers are known from {age / 1e9:.1f} s ago")
+            self.log_info(f"state: {len(learned['servers'])} servers are known from {age_ns / 1e9:.1f} s ago")
         return learned
 
     def schedule_snapshots(self, scheduler: Scheduler, balancer: Balancer, clock: Callable[[], int]) -> None:
-        """Offer a snapshot every second from now on."""
+        """Submit a snapshot to the writer every second from now on."""
 
         def offer() -> None:
             self.writer.offer(balancer.snapshot(clock()), time.time_ns())
-            scheduler.call_at(clock() + EVERY_NS, offer)
+            scheduler.call_at(clock() + SNAPSHOT_INTERVAL_NS, offer)
 
-        scheduler.call_at(clock() + EVERY_NS, offer)
+        scheduler.call_at(clock() + SNAPSHOT_INTERVAL_NS, offer)
 
     def stop(self, balancer: Balancer, now: int) -> None:
-        """Write the last checkpoint; the next start within moments uses nearly all of it."""
-        if not self.writer.close(balancer.snapshot(now), time.time_ns(), LAST_WRITE_S):
-            self.say("state: the last checkpoint was not written in time")
+        """Write the final checkpoint; a restart soon afterwards uses nearly all of it."""
+        if not self.writer.close(balancer.snapshot(now), time.time_ns(), FINAL_WRITE_TIMEOUT_S):
+            self.log_warning("state: the last checkpoint was not written in time")
--- a/iristrack/store/state_format.py
+++ b/iristrack/store/state_format.py
@@ -1,11 +1,11 @@
 """The records of a state file, in the frames of `framing`.
 
-This file owns the format and its reader, a function of bytes. It opens no file and knows nothing of what records mean.
+This module defines the format and its reader, a function of bytes. It opens no file and does not interpret records.
 
     payload  MessagePack: [kind, body]
-    end      a record of kind `end` whose body is the number of records before it: a checkpoint without one is not whole
+    end      a record of kind `end` whose body is the number of records before it; a checkpoint without it is incomplete
 
-A record holds at most 64 KiB, a file at most 8 MiB.
+A record is limited to 64 KiB, a file to 8 MiB.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from iristrack.store.framing import Cut, Frame, Framing, Read, TooLarge, Verdict
+from iristrack.store.framing import Frame, Framing, InvalidRecord, ReadResult, TooLarge, Verdict
 
-__all__ = ["Read", "Record", "TooLarge", "Verdict", "checkpoint", "header", "read", "record"]
+__all__ = ["ReadResult", "Record", "TooLarge", "Verdict", "checkpoint", "header", "read", "record"]
 
 MAGIC = b"IRISTATE"
 FORMAT = 1
@@ -33,12 +33,12 @@
 
 
 def record(kind: str, body: Any) -> bytes:
-    """One record's bytes; raises `TooLarge`."""
+    """Return the bytes of one record; raises `TooLarge`."""
     return _FRAMING.record(kind, _encode([kind, body]))
 
 
 def checkpoint(writer: str, records: list[Record]) -> bytes:
-    """A whole checkpoint; raises `TooLarge`."""
+    """Return the bytes of a complete checkpoint; raises `TooLarge`."""
     parts = [header(writer), *(record(kind, body) for kind, body in records), record(END, len(records))]
     data = b"".join(parts)
     if len(data) > MAX_FILE_BYTES:
@@ -46,38 +46,38 @@
     return data
 
 
-def read(data: bytes) -> Read:
-    """Read a file's bytes to their longest valid prefix. Never raises, whatever they are."""
-    found = _FRAMING.read_header(data)
-    if found.verdict is Verdict.PREFIX:
+def read(data: bytes) -> ReadResult:
+    """Read the longest valid prefix of a file. Never raises."""
+    result = _FRAMING.read_header(data)
+    if result.verdict is Verdict.PREFIX:
         try:
-            _read_records(data, found)
-        except Cut as cut:
-            found.why = str(cut)
-    return found
+            _read_records(data, result)
+        except InvalidRecord as error:
+            result.why = str(error)
+    return result
 
 
-def _read_records(data: bytes, found: Read) -> None:
-    """Read to the end record; raises `Cut` where there is none behind the valid records."""
-    while found.end < len(data):
-        frame = _FRAMING.frame_at(data, found.end)
+def _read_records(data: bytes, result: ReadResult) -> None:
+    """Read up to the end record; raises `InvalidRecord` if none follows the valid records."""
+    while result.end < len(data):
+        frame = _FRAMING.frame_at(data, result.end)
         kind, body = _decoded(frame)
         if kind == END:
-            if body != len(found.records) or frame.end != len(data):
-                raise Cut(f"the end record at byte {frame.begin} does not fit")
-            found.end, found.verdict = frame.end, Verdict.COMPLETE
+            if body != len(result.records) or frame.end != len(data):
+                raise InvalidRecord(f"the end record at byte {frame.begin} does not match the records")
+            result.end, result.verdict = frame.end, Verdict.COMPLETE
             return
-        found.records.append((kind, body))
-        found.end = frame.end
-    raise Cut("it ends without its end record")
+        result.records.append((kind, body))
+        result.end = frame.end
+    raise InvalidRecord("it ends without its end record")
 
 
 def _decoded(frame: Frame) -> Record:
-    """What a frame carries; raises `Cut`."""
+    """Decode the record in a frame; raises `InvalidRecord`."""
     try:
         kind, body = _decode(frame.payload)
     except (msgspec.DecodeError, ValueError, TypeError):
-        raise Cut(f"no record at byte {frame.begin}") from None
+        raise InvalidRecord(f"not a valid record at byte {frame.begin}") from None
     if not isinstance(kind, str):
-        raise Cut(f"no record at byte {frame.begin}")
+        raise InvalidRecord(f"not a valid record at byte {frame.begin}")
     return kind, body
--- a/iristrack/store/sync_thread.py
+++ b/iristrack/store/sync_thread.py
@@ -1,9 +1,9 @@
-"""Appends records beside the event loop: a thread that syncs all that waits at once.
+"""Appends records outside the event loop: a thread that writes and syncs all queued records at once.
 
-This file owns the queue between the loop and the disk. It must never keep the loop waiting: `submit` puts records into
-the queue and returns, and the outcome is told in the loop's thread, in the order of submission. What was submitted
-before the loop was told of a failure, and stands behind it, fails as well: it may rest on what was lost. Bounds: 4,096
-records and 32 MiB that were submitted and not told yet.
+This module owns the queue between the loop and the disk. It never blocks the loop: `submit` queues records and returns,
+and the outcomes are reported in the loop's thread, in the order of submission. After a failure, submissions that were
+queued before the loop was informed of it fail as well, because they may depend on what was lost. Limits: 4,096 records
+and 32 MiB submitted and not yet reported.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
 if TYPE_CHECKING:
     from iristrack.runtime.scheduler import Scheduler
 
-MOST_RECORDS = 4096
-MOST_BYTES = 32 * 1024 * 1024
-RECORD_OVERHEAD_BYTES = 256  # what a record weighs beside its value
+MAX_PENDING_RECORDS = 4096
+MAX_PENDING_BYTES = 32 * 1024 * 1024
+RECORD_OVERHEAD_BYTES = 256  # estimated memory of a queued record, excluding its value
 _WAKE_READ_BYTES = 4096
 
 OnDone = Callable[[bool], None]
 
 
 class EarlierFailure(Exception):
-    """Records were not written because earlier ones were not."""
+    """Records were not written because earlier ones failed."""
 
 
 @dataclass(slots=True)
 class _Submission:
-    """Records that are kept or not kept together."""
+    """Records that succeed or fail together."""
 
     records: Sequence[Record]
     on_done: OnDone
     size: int  # bytes
-    known_failures: int  # the number of the last failure that the loop was told when it submitted this
+    reported_failures: int  # number of the last failure reported to the loop when it submitted this
     failure: Exception | None = None
     failure_number: int = 0
 
 
 class SyncThread:
-    """One store's writer. All methods are for the loop's thread."""
+    """The writer of one store. All public methods must be called from the loop's thread."""
 
     def __init__(
         self,
@@ -60,37 +60,41 @@
         self._report_failure = report_failure
         self._queue: deque[_Submission] = deque()
         self._done: deque[_Submission] = deque()
-        self._outstanding: deque[_Submission] = deque()  # in order of submission, until they are told
+        self._outstanding: deque[_Submission] = (
+            deque()
+        )  # in order of submission, until their outcome is reported
         self._outstanding_records = 0
         self._outstanding_bytes = 0
-        self._known_failures = 0  # the loop's
-        self._failures = 0  # the thread's: it fails what was submitted without knowledge of the last one
+        self._reported_failures = 0  # as reported to the loop
+        self._failure_count = (
+            0  # as seen by the thread, which fails submissions made before the last one was reported
+        )
         self._changed = threading.Condition()
         self._stopping = False
         self._wake_reader, self._wake_writer = socket.socketpair()
         self._wake_reader.setblocking(False)
         self._wake_writer.setblocking(False)
-        self._thread = threading.Thread(target=self._run, name="cell sync", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="acceptor sync", daemon=True)
 
     # ---- the loop's side
 
     def start(self) -> None:
-        """Begin to write."""
-        self._scheduler.watch(self._wake_reader.fileno(), self._tell_done)
+        """Start the thread."""
+        self._scheduler.watch(self._wake_reader.fileno(), self._report_completed)
         self._thread.start()
 
     def submit(self, records: Sequence[Record], on_done: OnDone) -> None:
-        """Have records on the disk; `on_done` gets true once they are, false if they may not be.
+        """Queue records for writing; `on_done` is called with true once they are synced, with false if they may not be.
 
-        It is called from the loop later, or at once with false where the queue is full or the thread stops.
+        It is called later from the loop, or immediately with false if the queue is full or the thread is stopping.
         """
-        size = sum(_weight(record) for record in records)
-        over_records = self._outstanding_records + len(records) > MOST_RECORDS
-        over_bytes = self._outstanding_bytes + size > MOST_BYTES
+        size = sum(_estimated_bytes(record) for record in records)
+        over_records = self._outstanding_records + len(records) > MAX_PENDING_RECORDS
+        over_bytes = self._outstanding_bytes + size > MAX_PENDING_BYTES
         if over_records or over_bytes or self._stopping:
             on_done(False)
             return
-        submission = _Submission(records, on_done, size, self._known_failures)
+        submission = _Submission(records, on_done, size, self._reported_failures)
         self._outstanding.append(submission)
         self._outstanding_records += len(records)
         self._outstanding_bytes += size
@@ -99,9 +103,9 @@
             self._changed.notify()
 
     def stop(self, within_s: float) -> bool:
-        """Write what waits, close the store and tell all outcomes; false if the disk took longer than that.
+        """Write queued records, close the store and report all outcomes; false if that exceeded `within_s`.
 
-        What was not written by then is told as failed, and the thread and its store are left behind.
+        Records not written by then are reported as failed, and the thread and its store are abandoned.
         """
         with self._changed:
             self._stopping = True
@@ -111,19 +115,19 @@
         else:
             self._thread.join(within_s)
         in_time = not self._thread.is_alive()
-        self._tell_done()
+        self._report_completed()
         self._scheduler.unwatch(self._wake_reader.fileno())
         self._wake_reader.close()
         self._wake_writer.close()
         while self._outstanding:
-            self._tell(TimeoutError(f"the disk took over {within_s} s"))
+            self._report_oldest(TimeoutError(f"the disk did not complete the writes within {within_s} s"))
         return in_time
 
-    def _tell_done(self) -> None:
-        """Tell the outcomes that the thread handed over."""
+    def _report_completed(self) -> None:
+        """Report the outcomes completed by the thread."""
         self._drain_wakes()
         while self._done and self._outstanding:
-            self._tell(self._done.popleft().failure)
+            self._report_oldest(self._done.popleft().failure)
 
     def _drain_wakes(self) -> None:
         try:
@@ -132,10 +136,10 @@
         except BlockingIOError:
             return
 
-    def _tell(self, failure: Exception | None) -> None:
-        """Tell the oldest outstanding submission its outcome."""
+    def _report_oldest(self, failure: Exception | None) -> None:
+        """Report the outcome of the oldest outstanding submission."""
         submission = self._outstanding.popleft()
-        self._known_failures = max(self._known_failures, submission.failure_number)
+        self._reported_failures = max(self._reported_failures, submission.failure_number)
         self._outstanding_records -= len(submission.records)
         self._outstanding_bytes -= submission.size
         try:
@@ -143,8 +147,8 @@
                 self._report_failure(failure)
             submission.on_done(failure is None)
         except Exception:
-            # Guards the submissions behind it.
-            self._scheduler.report_failure("an outcome of the cell store was not taken")
+            # A failing callback must not affect later submissions.
+            self._scheduler.report_failure("a callback of the acceptor store failed")
 
     # ---- the thread's side
 
@@ -156,7 +160,7 @@
         self._store.close()
 
     def _next_batch(self) -> list[_Submission]:
-        """All that waits; empty at the end."""
+        """Wait for and return all queued submissions; empty when the thread stops."""
         with self._changed:
             while not self._queue and not self._stopping:
                 self._changed.wait()
@@ -165,35 +169,35 @@
             return batch
 
     def _write(self, batch: list[_Submission]) -> None:
-        """Append a batch as one; where the store refuses some of it, each submission on its own."""
-        sound = [submission for submission in batch if not self._is_behind_failure(submission)]
-        if not sound:
+        """Append a batch as a whole; if the store refuses it, append each submission separately."""
+        eligible = [submission for submission in batch if not self._fail_if_stale(submission)]
+        if not eligible:
             return
-        failure = self._append([record for submission in sound for record in submission.records])
+        failure = self._append([record for submission in eligible for record in submission.records])
         if failure is None:
             return
-        if _is_refusal(failure) and len(sound) > 1:
-            for submission in sound:
+        if _is_refusal(failure) and len(eligible) > 1:
+            for submission in eligible:
                 self._write([submission])
             return
-        self._failures += 1
-        for submission in sound:
+        self._failure_count += 1
+        for submission in eligible:
             submission.failure = failure
-            submission.failure_number = self._failures
+            submission.failure_number = self._failure_count
 
-    def _is_behind_failure(self, submission: _Submission) -> bool:
-        """Fail a submission made before the loop knew of the last failure."""
-        if submission.known_failures == self._failures:
+    def _fail_if_stale(self, submission: _Submission) -> bool:
+        """Fail a submission made before the last failure was reported to the loop; return whether it was."""
+        if submission.reported_failures == self._failure_count:
             return False
         submission.failure = EarlierFailure("earlier records were not written")
-        submission.failure_number = self._failures
+        submission.failure_number = self._failure_count
         return True
 
     def _append(self, records: Sequence[Record]) -> Exception | None:
         try:
             self._store.append(records)
         except Exception as failure:
-            # Guards the thread: whatever one batch meets, the next one is tried.
+            # Keeps the thread alive: an error in one batch must not prevent the next one.
             return failure
         return None
 
@@ -201,15 +205,15 @@
         try:
             self._wake_writer.send(b"\0")
         except OSError:
-            # Full: the loop is to wake anyway. Closed: `stop` waited no longer.
+            # Full: the loop will wake anyway. Closed: `stop` has timed out.
             return
 
 
 def _is_refusal(failure: Exception) -> bool:
-    """Did the store write nothing because of what the records are?"""
+    """Return whether the store refused the records before writing anything."""
     return isinstance(failure, StoreFull) or not isinstance(failure, OSError)
 
 
-def _weight(record: Record) -> int:
-    """About what a queued record holds in memory, in bytes."""
+def _estimated_bytes(record: Record) -> int:
+    """Return the estimated memory of a queued record in bytes."""
     return RECORD_OVERHEAD_BYTES + (0 if isinstance(record, IdentityRecord) else len(record.value))
--- a/tests/state/disk.py
+++ b/tests/state/disk.py
@@ -52,11 +52,11 @@
         if self.calls == self.fail_at + 1 and self.how == "crash after":
             raise Died
 
-    def make(self, path: str) -> None:
+    def create_folder(self, path: str) -> None:
         self._call()
         self._after()
 
-    def names(self, path: str) -> list[str]:
+    def list_names(self, path: str) -> list[str]:
         self._call()
         self._after()
         return sorted(name.rpartition("/")[2] for name in self.nodes)
--- a/tests/state/test_acceptor_store.py
+++ b/tests/state/test_acceptor_store.py
@@ -120,7 +120,7 @@
 
 
 def test_live_records_over_their_bound_are_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(acceptor_store, "MOST_LIVE_BYTES", 3000)
+    monkeypatch.setattr(acceptor_store, "MAX_LIVE_BYTES", 3000)
     store = began(tmp_path).store
     store.append([cell("a", 1, 1000), cell("b", 1, 1000)])
     with pytest.raises(StoreFull):
@@ -429,7 +429,7 @@
     store = began(tmp_path).store
     store.append([cell("k", 1, 500)])
     store.close()
-    monkeypatch.setattr(acceptor_store, "MOST_FILE_BYTES", 400)
+    monkeypatch.setattr(acceptor_store, "MAX_FILE_BYTES", 400)
     with pytest.raises(UnreadableFile):
         open_acceptor_store(str(tmp_path), "a")
 
--- a/tests/state/test_state_writer.py
+++ b/tests/state/test_state_writer.py
@@ -8,7 +8,7 @@
 
 from iristrack.recovery.pack import unpack
 from iristrack.store.state_store import StateStore
-from iristrack.store.state_writer import CHECKPOINT_EVERY_S, QUEUED, StateWriter
+from iristrack.store.state_writer import CHECKPOINT_INTERVAL_S, MAX_QUEUED_SNAPSHOTS, StateWriter
 from tests.state.disk import Failing
 from tests.state.test_aging import trained_host
 
@@ -45,7 +45,7 @@
         written.append(made.write(host.balancer.snapshot(host.now), tick + 2))
     assert sum(written) == 65 and not any(a and b for a, b in itertools.pairwise(written))
     assert sorted(n for n in files.nodes if "checkpoint" in n) == ["f/checkpoint.0", "f/checkpoint.1"]
-    assert CHECKPOINT_EVERY_S < 130 * 0.5 and kept(files)[1]["at"] == 131 and not said
+    assert CHECKPOINT_INTERVAL_S < 130 * 0.5 and kept(files)[1]["at"] == 131 and not said
 
 
 def test_the_rate_is_bounded_and_nothing_is_lost_by_waiting() -> None:
@@ -61,7 +61,7 @@
     journal = sum(len(n.data) for n in files.nodes.values()) - first
     assert made.skipped > 0 and journal <= 100 * 60
     assert made.write(host.balancer.snapshot(host.now), 99, last=True)
-    assert kept(files)[0] == unpack(made._last)[0]
+    assert kept(files)[0] == unpack(made._written_records)[0]
 
 
 def test_a_full_disk_is_one_line_in_half_a_minute() -> None:
@@ -80,7 +80,7 @@
         made.write(host.balancer.snapshot(host.now) if tick else snapshot, tick)
     assert 1 <= len(said) <= 4 and "No space left" in said[0]
     del files.write
-    clock.now += CHECKPOINT_EVERY_S
+    clock.now += CHECKPOINT_INTERVAL_S
     assert made.write(host.balancer.snapshot(host.now), 500) and kept(files)[1]["at"] == 500
 
 
@@ -98,9 +98,9 @@
     made.start()
     host = trained_host()
     snapshot = host.balancer.snapshot(host.now)
-    for i in range(QUEUED * 5):
+    for i in range(MAX_QUEUED_SNAPSHOTS * 5):
         made.offer(snapshot, i)
-    assert made.dropped >= QUEUED * 3 and len(made._queue) <= QUEUED
+    assert made.dropped >= MAX_QUEUED_SNAPSHOTS * 3 and len(made._queue) <= MAX_QUEUED_SNAPSHOTS
     held.set()
     assert made.close(snapshot, 777, 60)
     found = StateStore(str(tmp_path), "1", print).open()
--- a/tests/state/test_sync_thread.py
+++ b/tests/state/test_sync_thread.py
@@ -172,7 +172,7 @@
 def test_over_the_bound_of_records_it_is_told_at_once_and_room_comes_back(
     host: Host, store: SlowStore
 ) -> None:
-    batch = [cell(f"k{n}") for n in range(sync_thread.MOST_RECORDS // 4)]
+    batch = [cell(f"k{n}") for n in range(sync_thread.MAX_PENDING_RECORDS // 4)]
     for n in range(4):
         host.submit(n, *batch)
     host.submit("over", cell("over"))
