--- a/iristrack/store/sync_thread.py
+++ b/iristrack/store/sync_thread.py
@@ -60,15 +60,12 @@
         self._report_failure = report_failure
         self._queue: deque[_Submission] = deque()
         self._done: deque[_Submission] = deque()
-        self._outstanding: deque[_Submission] = (
-            deque()
-        )  # in order of submission, until their outcome is reported
+        self._outstanding: deque[_Submission] = deque()  # in order of submission, until reported
         self._outstanding_records = 0
         self._outstanding_bytes = 0
         self._reported_failures = 0  # as reported to the loop
-        self._failure_count = (
-            0  # as seen by the thread, which fails submissions made before the last one was reported
-        )
+        # As seen by the thread, which fails submissions made before the last failure was reported to the loop.
+        self._failure_count = 0
         self._changed = threading.Condition()
         self._stopping = False
         self._wake_reader, self._wake_writer = socket.socketpair()
--- a/tests/register/test_acceptor.py
+++ b/tests/register/test_acceptor.py
@@ -11,15 +11,15 @@
 LOW, MIDDLE, HIGH = Ballot(1, "p"), Ballot(2, "p"), Ballot(3, "p")
 
 
-def acceptor(cells: dict[str, RegisterState] | None = None, voting: bool = True) -> Acceptor:
-    return Acceptor("core0", "disk1", cells or {}, voting, keys=(KEY,))
+def acceptor(states: dict[str, RegisterState] | None = None, voting: bool = True) -> Acceptor:
+    return Acceptor("core0", "disk1", states or {}, voting, keys=(KEY,))
 
 
 def accept(ballot: Ballot, incarnation: str = "", value: bytes = b"v") -> Accept:
     return Accept(7, KEY, ballot, incarnation, value)
 
 
-def test_a_promise_echoes_the_call_and_tells_what_was_accepted() -> None:
+def test_a_promise_echoes_the_call_and_reports_the_accepted_value() -> None:
     outcome = acceptor({KEY: RegisterState(LOW, LOW, b"old")}).handle_prepare(Prepare(9, KEY, MIDDLE))
     assert outcome.record == RegisterRecord(KEY, MIDDLE, LOW, b"old")
     reply = outcome.reply
@@ -27,7 +27,7 @@
     assert (reply.granted, reply.promised, reply.accepted, reply.value) == (True, MIDDLE, LOW, b"old")
 
 
-def test_a_lower_ballot_is_refused_without_a_write_and_told_why() -> None:
+def test_a_lower_ballot_is_refused_without_a_write_and_with_the_promised_ballot() -> None:
     core = acceptor({KEY: RegisterState(HIGH)})
     for outcome in (core.handle_prepare(Prepare(1, KEY, MIDDLE)), core.handle_accept(accept(MIDDLE))):
         assert outcome.record is None
@@ -35,7 +35,7 @@
         assert outcome.reply.promised == HIGH
 
 
-def test_of_equal_rounds_the_greater_proposer_name_is_later() -> None:
+def test_equal_rounds_are_ordered_by_proposer_name() -> None:
     core = acceptor({KEY: RegisterState(Ballot(2, "b"))})
     assert not core.handle_prepare(Prepare(1, KEY, Ballot(2, "a"))).reply.granted
     assert core.handle_prepare(Prepare(1, KEY, Ballot(2, "c"))).reply.granted
@@ -47,13 +47,13 @@
     assert core.handle_prepare(Prepare(1, KEY, LOW)) == first
 
 
-def test_memory_runs_ahead_of_the_disk() -> None:
+def test_decisions_use_the_state_in_memory_before_it_is_written() -> None:
     core = acceptor()
     core.handle_prepare(Prepare(1, KEY, HIGH))  # its record is not written yet
     assert not core.handle_accept(accept(MIDDLE)).reply.granted
 
 
-def test_one_that_is_replaced_lets_one_disk_be_filled_and_accepts_nothing() -> None:
+def test_a_replaced_acceptor_serves_one_disk_and_accepts_nothing() -> None:
     core = acceptor({KEY: RegisterState(LOW, LOW, b"old")})
     core.serve_successor(2, "named")
     first, second, later = Ballot(5, "d/1"), Ballot(9, "d/2"), Ballot(11, "d/3")
@@ -65,11 +65,11 @@
     read = core.handle_prepare(Prepare(2, KEY, Ballot(6, "d/1"), 2, "named")).reply
     assert (read.granted, read.value) == (True, b"old")
     assert not core.handle_accept(Accept(3, KEY, Ballot(6, "d/1"), "", b"v", 2)).reply.granted
-    # A process that starts anew on the same disk goes on under a ballot of its own.
+    # A process restarted on the same disk continues with its own ballot.
     assert core.handle_prepare(Prepare(4, RECOVERY_KEY, later, 2, "named")).reply.granted
 
 
-def test_one_that_is_replaced_serves_nobody_where_the_set_names_no_disk() -> None:
+def test_a_replaced_acceptor_serves_no_disk_if_the_set_names_none() -> None:
     core = acceptor({KEY: RegisterState(LOW, LOW, b"old")})
     core.serve_successor(2, "")
     for disk in ("", "any"):
@@ -88,13 +88,13 @@
     assert not outcome.reply.granted
 
 
-def test_an_accept_without_incarnation_goes_by_its_ballot() -> None:
+def test_an_accept_without_incarnation_is_decided_by_its_ballot() -> None:
     core = acceptor({KEY: RegisterState(MIDDLE)})
     assert not core.handle_accept(accept(LOW)).reply.granted
     assert core.handle_accept(accept(HIGH)).reply.granted
 
 
-def test_helping_a_recovery_changes_the_incarnation_that_is_told() -> None:
+def test_serving_a_recovery_changes_the_reported_incarnation() -> None:
     core = acceptor()
     before = core.incarnation
     announced = core.handle_prepare(Prepare(1, RECOVERY_KEY, LOW))
@@ -104,14 +104,14 @@
     assert core.handle_prepare(Prepare(2, KEY, LOW)).reply.incarnation == core.incarnation
 
 
-def test_the_incarnation_told_survives_a_restart() -> None:
+def test_the_reported_incarnation_survives_a_restart() -> None:
     core = acceptor()
     core.handle_prepare(Prepare(1, RECOVERY_KEY, LOW))
     restarted = acceptor({RECOVERY_KEY: core.state(RECOVERY_KEY)})
     assert restarted.incarnation == core.incarnation
 
 
-def test_nothing_is_accepted_on_the_key_of_recoveries() -> None:
+def test_nothing_is_accepted_on_the_recovery_key() -> None:
     assert not acceptor().handle_accept(Accept(1, RECOVERY_KEY, HIGH, "", b"v")).reply.granted
 
 
@@ -135,7 +135,7 @@
     assert_gives_no_vote(acceptor(), "unheard")
 
 
-def test_after_a_failed_write_no_vote_is_given() -> None:
+def test_no_vote_is_given_after_a_failed_write() -> None:
     core = acceptor()
     core.write_failed()
     assert_gives_no_vote(core, KEY)
@@ -145,14 +145,14 @@
 
 
 class AcceptorMachine(RuleBasedStateMachine):
-    """Whatever comes, with crashes that keep only what was written: promises only rise and bind."""
+    """Random messages and crashes that keep only written records: promises only rise and are never broken."""
 
     def __init__(self) -> None:
         super().__init__()
         self.disk: dict[str, RegisterState] = {}
         self.unsynced: list[tuple[RegisterRecord | None, Ballot]] = []
         self.core = acceptor()
-        self.released = NO_BALLOT  # the highest ballot that an answer on its way has bound us to
+        self.released = NO_BALLOT  # the highest ballot promised or accepted in a released reply
 
     def submit(self, outcome, ballot: Ballot) -> None:
         assert (outcome.record is not None) == outcome.reply.granted
@@ -185,10 +185,10 @@
         self.core = acceptor(self.disk)
 
     @invariant()
-    def memory_is_bound_by_all_released_answers(self) -> None:
-        cell = self.core.state(KEY)
-        assert cell.promised >= self.released
-        assert cell.accepted <= cell.promised
+    def memory_respects_all_released_replies(self) -> None:
+        state = self.core.state(KEY)
+        assert state.promised >= self.released
+        assert state.accepted <= state.promised
 
 
 TestAcceptorMachine = AcceptorMachine.TestCase
@@ -197,9 +197,11 @@
 )
 
 
-def test_a_value_that_the_sender_knows_is_not_sent_and_another_is() -> None:
+def test_a_promise_omits_only_a_value_that_the_sender_knows() -> None:
     core = acceptor({KEY: RegisterState(LOW, LOW, b"old")})
     for known, value in ((LOW, b""), (NO_BALLOT, b"old"), (MIDDLE, b"old")):
         reply = core.handle_prepare(Prepare(1, KEY, HIGH, known=known)).reply
         assert (reply.granted, reply.accepted, reply.value) == (True, LOW, value)
-    assert core.handle_prepare(Prepare(1, KEY, LOW)).reply.value == b""  # not granted: nobody reads it
+    assert (
+        core.handle_prepare(Prepare(1, KEY, LOW)).reply.value == b""
+    )  # not granted: the proposer ignores the value
--- a/tests/register/test_member_set.py
+++ b/tests/register/test_member_set.py
@@ -38,7 +38,7 @@
     assert settled(joining) == MembersValue(3, ("a", "c", "d"))
 
 
-def test_a_joining_member_may_be_replaced_and_no_other() -> None:
+def test_only_the_joining_member_may_be_replaced() -> None:
     joining = replaced(FIRST, "b", "d")
     assert replaced(joining, "d", "e") == MembersValue(3, ("a", "c", "e"), "e", "d")
     for change in (lambda: replaced(joining, "a", "e"), lambda: added(joining, "e")):
@@ -46,7 +46,7 @@
             change()
 
 
-def test_a_member_is_taken_out_and_nothing_else_changes_until_the_registers_are_written_again() -> None:
+def test_after_a_removal_nothing_changes_until_the_registers_are_rewritten() -> None:
     four = settled(added(FIRST, "d"))
     shrinking = removed(four, "b")
     assert shrinking == MembersValue(4, ("a", "c", "d"), leaving="b")
@@ -66,12 +66,12 @@
 
 
 @pytest.mark.parametrize(("old", "new"), [("z", "d"), ("a", "b"), ("a", "a")])
-def test_only_members_are_replaced_and_only_by_others(old: str, new: str) -> None:
+def test_only_members_are_replaced_and_only_by_non_members(old: str, new: str) -> None:
     with pytest.raises(MemberSetError):
         replaced(FIRST, old, new)
 
 
-def test_a_set_has_a_bound() -> None:
+def test_a_set_has_a_maximum_size() -> None:
     members = FIRST
     for index in range(MAX_MEMBERS - 3):
         members = settled(added(members, f"more{index}"))
@@ -82,7 +82,7 @@
         added(FIRST, "a")
 
 
-def test_a_set_is_changed_by_the_sequence_that_was_expected() -> None:
+def test_a_set_is_changed_only_at_the_expected_sequence() -> None:
     second = replaced(FIRST, "a", "d")
     change = change_members(FIRST, second)
     assert decode_value(change(b""), MembersValue) == second
@@ -92,7 +92,7 @@
     assert change_members(second, settled(second))(b"") == Refuse(SET_DIFFERS)
 
 
-def test_an_acceptor_answers_its_own_member_set_alone() -> None:
+def test_an_acceptor_votes_only_in_its_own_member_set() -> None:
     acceptor = Acceptor("a", "disk", {}, True, keys=("config",), member_sequence=2)
     for sequence in (1, 3):
         for outcome in (
@@ -106,7 +106,7 @@
     assert acceptor.handle_prepare(Prepare(3, "config", Ballot(1, "p"), 2)).reply.granted
 
 
-def test_a_proposer_begins_anew_with_a_newer_set_and_never_with_an_older_one() -> None:
+def test_a_proposer_restarts_with_a_newer_set_but_not_with_an_older_one() -> None:
     proposer = Proposer(
         ProposerIdentity("p"), "config", FIRST, lambda _: Unchanged(), random.Random(1), 10**12
     )
@@ -119,7 +119,7 @@
 
 
 def test_a_promise_under_another_set_does_not_count() -> None:
-    """A program that knows no sets promises whatever it is asked, and tells no sequence."""
+    """A version without member sets promises any ballot and reports no sequence."""
     members = settled(FIRST)
     identity = ProposerIdentity("p")
     identity.incarnations = dict.fromkeys(members.members, "disk")
@@ -149,59 +149,60 @@
 
 
 class Round:
-    """Members of one set that answer at once; the one that is replaced is among them."""
+    """Members of one set, including the replaced one, that reply immediately."""
 
     def __init__(self, members: MembersValue) -> None:
         self.members = members
-        held = {KEY: RegisterState(Ballot(1, "p"), Ballot(1, "p"), b"old")}
+        states = {KEY: RegisterState(Ballot(1, "p"), Ballot(1, "p"), b"old")}
         names = (*members.members, members.leaving)
         self.acceptors = {
-            name: Acceptor(name, f"{name}-disk", held, True, keys=(KEY,), member_sequence=members.sequence)
+            name: Acceptor(name, f"{name}-disk", states, True, keys=(KEY,), member_sequence=members.sequence)
             for name in names
         }
         self.acceptors[members.leaving].serve_successor(members.sequence, members.joining_disk)
         del self.acceptors[members.joining]
 
-    def carry(self, decider: Recovery | Proposer, reached: set[str]):
-        """Have each message to those that are reached answered; the result, None where it waits for others."""
+    def carry(self, decider: Recovery | Proposer, reachable: set[str]):
+        """Deliver messages to the reachable members; return the result, or None if others are needed."""
         waiting = list(decider.start(0))
         while waiting:
             effect = waiting.pop(0)
             if isinstance(effect, Finished):
                 return effect.result
-            if isinstance(effect, SendTo) and effect.member in reached & self.acceptors.keys():
+            if isinstance(effect, SendTo) and effect.member in reachable & self.acceptors.keys():
                 core = self.acceptors[effect.member]
                 is_prepare = isinstance(effect.message, Prepare)
                 handle = core.handle_prepare if is_prepare else core.handle_accept
                 waiting.extend(decider.handle(handle(effect.message).reply, 1))
         return None
 
-    def recover(self, process: str, reached: set[str], disk: str | None = None) -> bool:
-        """Have the newcomer recover by what it reaches, and vote; false where that is not enough.
+    def recover(self, process: str, reachable: set[str], disk: str | None = None) -> bool:
+        """Recover the joining member from the reachable members and let it vote; false if they are too few.
 
-        Each process has a disk of its own, unless `disk` names it.
+        Each process has its own disk, unless `disk` names it.
         """
         name = self.members.joining
         identity = ProposerIdentity(f"{name}/{process}")
         recovery = Recovery(name, identity, self.members, (KEY,), random.Random(1), disk=disk or process)
-        recovered = self.carry(recovery, reached)
+        recovered = self.carry(recovery, reachable)
         if recovered is None:
             return False
-        cells = {r.key: RegisterState(r.promised, r.accepted, r.value) for r in recovered.records}
+        states = {r.key: RegisterState(r.promised, r.accepted, r.value) for r in recovered.records}
         sequence = self.members.sequence
-        self.acceptors[name] = Acceptor(name, process, cells, True, keys=(KEY,), member_sequence=sequence)
+        self.acceptors[name] = Acceptor(name, process, states, True, keys=(KEY,), member_sequence=sequence)
         return True
 
-    def change(self, wanted: bytes, reached: set[str]) -> object:
-        identity = ProposerIdentity(f"p-{wanted.decode()}")
-        identity.observe(KEY, Ballot(20, "p"))  # above all that was promised
+    def change(self, new_value: bytes, reachable: set[str]) -> object:
+        identity = ProposerIdentity(f"p-{new_value.decode()}")
+        identity.observe(KEY, Ballot(20, "p"))  # above all promised ballots
         identity.incarnations.update({name: core.incarnation for name, core in self.acceptors.items()})
         return self.carry(
-            Proposer(identity, KEY, self.members, lambda value: wanted, random.Random(1), 10**12), reached
+            Proposer(identity, KEY, self.members, lambda value: new_value, random.Random(1), 10**12),
+            reachable,
         )
 
 
-def test_a_newcomer_that_lost_the_disk_it_voted_on_does_not_read_from_the_one_it_replaced() -> None:
+def test_a_joining_member_that_lost_the_disk_it_voted_on_does_not_read_from_the_one_it_replaced() -> None:
     group = Round(replaced(FIRST, "a", "d", "first"))
     assert group.recover("first", {"a", "c"})
     assert isinstance(group.change(b"new", {"b", "d"}), Committed)
@@ -211,8 +212,8 @@
     assert group.acceptors["d"].state(KEY).value == b"new"
 
 
-def test_a_newcomer_that_voted_without_the_one_it_replaced_does_not_read_from_it_later() -> None:
-    """The first process recovers while its way to the leaving member is cut, so that this one knows nothing of it."""
+def test_a_joining_member_that_voted_without_the_one_it_replaced_does_not_read_from_it_later() -> None:
+    """The first process recovers while disconnected from the leaving member, which therefore has not served it."""
     group = Round(replaced(FIRST, "a", "d", "first"))
     assert group.recover("first", {"b", "c"})
     assert isinstance(group.change(b"new", {"b", "d"}), Committed)
@@ -220,14 +221,14 @@
     assert not group.recover("second", {"a", "c"})
 
 
-def test_a_newcomer_that_starts_anew_before_it_voted_reads_from_the_one_it_replaces_again() -> None:
+def test_a_joining_member_restarted_before_it_voted_reads_again_from_the_one_it_replaces() -> None:
     group = Round(replaced(FIRST, "a", "d", "its-disk"))
     assert not group.recover("first", {"a"}, "its-disk")
     assert group.recover("second", {"a", "c"}, "its-disk")
     assert group.acceptors["d"].state(KEY).value == b"old"
 
 
-def test_a_newcomer_whose_disk_is_not_named_reads_from_the_others_alone() -> None:
+def test_a_joining_member_whose_disk_is_not_named_reads_only_from_the_others() -> None:
     group = Round(replaced(FIRST, "a", "d"))
     assert not group.recover("first", {"a", "c"})
     assert group.recover("first", {"a", "b", "c"})
--- a/tests/register/test_newest_read.py
+++ b/tests/register/test_newest_read.py
@@ -1,4 +1,4 @@
-"""A question to a majority: whose answers count, and that no acknowledged sequence is missed."""
+"""Reading the newest sequence from a majority: which answers count, and that no acknowledged sequence is missed."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "ignored",
     [answer("z:1", 9), answer("b:1", 9, call=6), answer("b:1", 9, members=3), answer("a:1", 3)],
-    ids=["no member", "another question", "another member set", "the same one again"],
+    ids=["not a member", "another query", "another member set", "a repeated answer"],
 )
-def test_other_answers_do_not_count(odd: NewestAnswer) -> None:
+def test_other_answers_do_not_count(ignored: NewestAnswer) -> None:
     read = NewestSequenceRead(7, MEMBERS)
     read.handle_answer(answer("a:1", 3))
-    assert read.handle_answer(odd) is None
+    assert read.handle_answer(ignored) is None
     assert read.handle_answer(answer("d:1", 3)) is None
     assert read.handle_answer(answer("e:1", 4)) == 4
 
@@ -40,5 +40,5 @@
     for accepting in itertools.combinations(MEMBERS.members, 3):
         for answering in itertools.permutations(MEMBERS.members, 3):
             read = NewestSequenceRead(7, MEMBERS)
-            told = [read.handle_answer(answer(name, 8 if name in accepting else 2)) for name in answering]
-            assert told[-1] == 8
+            results = [read.handle_answer(answer(name, 8 if name in accepting else 2)) for name in answering]
+            assert results[-1] == 8
--- a/tests/register/test_proposer.py
+++ b/tests/register/test_proposer.py
@@ -37,7 +37,9 @@
 MEMBERS = ("core0", "core1", "core2")
 MEMBER_SET = MembersValue(FOUNDED, MEMBERS)
 DEADLINE = 10_000_000_000
-PACE = RetryPolicy(attempt_timeout_ns=1_000, initial_backoff_ns=10, max_backoff_ns=100, max_attempts=4)
+RETRY_POLICY = RetryPolicy(
+    attempt_timeout_ns=1_000, initial_backoff_ns=10, max_backoff_ns=100, max_attempts=4
+)
 
 
 class CompareAndSet:
@@ -56,7 +58,7 @@
 
 
 class Group:
-    """Three acceptors; messages go only where the test lets them, in the order in which it sends them."""
+    """Three acceptors; the test decides which messages are delivered, and in which order."""
 
     def __init__(self) -> None:
         self.acceptors = {name: Acceptor(name, f"{name}-disk", {}, True, keys=(KEY,)) for name in MEMBERS}
@@ -65,7 +67,7 @@
         identity = ProposerIdentity(name)
         if learned:
             identity.incarnations = {core.name: core.incarnation for core in self.acceptors.values()}
-        return Proposer(identity, KEY, MEMBER_SET, change, random.Random(1), deadline, PACE)
+        return Proposer(identity, KEY, MEMBER_SET, change, random.Random(1), deadline, RETRY_POLICY)
 
     def answer(self, send: SendTo) -> Promise | Accepted:
         core = self.acceptors[send.member]
@@ -74,7 +76,7 @@
         return core.handle_accept(send.message).reply
 
     def pump(self, proposer: Proposer, effects: list[Effect], members=MEMBERS, drop=()) -> list[Effect]:
-        """Carry messages of all types but those in `drop`, until nothing is left; return what was not carried."""
+        """Deliver all messages except types in `drop`, until none is left; return the undelivered effects."""
         waiting = list(effects)
         rest = []
         while waiting:
@@ -102,9 +104,9 @@
 
 
 def retry(group: Group, proposer: Proposer, effects: list[Effect], **pump) -> list[Effect]:
-    """Let the attempt time out and its rest pass."""
-    rested = proposer.on_timer(timers(effects)[-1])
-    return group.pump(proposer, proposer.on_timer(timers(rested)[-1]), **pump)
+    """Let the attempt time out and its backoff elapse."""
+    backed_off = proposer.on_timer(timers(effects)[-1])
+    return group.pump(proposer, proposer.on_timer(timers(backed_off)[-1]), **pump)
 
 
 def test_a_change_takes_two_rounds_and_is_committed() -> None:
@@ -119,7 +121,7 @@
     assert proposer.handle(group.answer(accepts[2]), 2) == [Finished(Committed(b"one", Ballot(1, "p")))]
 
 
-def test_of_two_changes_of_one_value_the_second_is_rejected() -> None:
+def test_the_second_of_two_changes_of_one_value_is_rejected() -> None:
     group = Group()
     assert isinstance(group.change("p", CompareAndSet(b"", b"one")), Committed)
     assert group.change("q", CompareAndSet(b"", b"two")) == Rejected("other value", b"one")
@@ -135,15 +137,15 @@
 
 
 @pytest.mark.parametrize("change", [read, CompareAndSet(b"x", b"y")])
-def test_what_is_told_of_a_half_accepted_value_is_first_committed(change) -> None:
+def test_a_partially_accepted_value_is_committed_before_it_is_reported(change) -> None:
     group = Group()
     writer = group.proposer("p", CompareAndSet(b"", b"one"))
     accepts = sends(group.pump(writer, writer.start(0), drop=(Accept,)), Accept)
-    group.answer(accepts[0])  # one acceptor has it, nobody was told
+    group.answer(accepts[0])  # accepted by one acceptor; the reply is lost
     observer = group.proposer("q", change)
-    held_back = group.pump(observer, observer.start(0), drop=(Accept,))
+    undelivered = group.pump(observer, observer.start(0), drop=(Accept,))
     assert observer.result is None
-    group.pump(observer, held_back)
+    group.pump(observer, undelivered)
     assert observer.result.value == b"one"
     assert group.change("r", read, members=MEMBERS[1:]).value == b"one"
 
@@ -153,13 +155,13 @@
     proposer = group.proposer("p", CompareAndSet(b"", b"one"))
     effects = group.pump(proposer, proposer.start(0), drop=(Accept,))
     for send in sends(effects, Accept):
-        group.answer(send)  # accepted, and the answers lost
+        group.answer(send)  # accepted; the replies are lost
     retry(group, proposer, effects)
     assert isinstance(proposer.result, Committed)
     assert proposer.result.value == b"one"
 
 
-def test_own_bytes_are_recognised_where_the_change_cannot_tell() -> None:
+def test_own_bytes_are_recognised_even_if_the_change_refuses_them() -> None:
     group = Group()
     proposer = group.proposer("p", lambda current: b"one" if current == b"" else Refuse("not empty"))
     effects = group.pump(proposer, proposer.start(0), drop=(Accept,))
@@ -168,7 +170,7 @@
     assert isinstance(proposer.result, Committed)
 
 
-def test_a_refusal_after_a_lost_attempt_that_was_overwritten_is_not_called_definite() -> None:
+def test_a_refusal_is_not_definite_if_a_lost_attempt_may_have_been_overwritten() -> None:
     group = Group()
     proposer = group.proposer("p", CompareAndSet(b"", b"one"))
     effects = group.pump(proposer, proposer.start(0), drop=(Accept,))
@@ -179,33 +181,33 @@
     assert proposer.result == Overtaken("other value", b"two")
 
 
-def test_a_refusal_is_definite_once_the_lost_attempt_cannot_come_back() -> None:
+def test_a_refusal_is_definite_once_the_lost_attempt_cannot_be_chosen() -> None:
     group = Group()
     group.change("o", CompareAndSet(b"", b"zero"))
     change = CompareAndSet(b"zero", b"one")
     proposer = group.proposer("p", change)
     effects = group.pump(proposer, proposer.start(0), drop=(Accept,))
-    stray = sends(effects, Accept)[0]  # still under way; nobody has accepted it
+    delayed = sends(effects, Accept)[0]  # still in flight; no acceptor has accepted it
     change.expected = b"something else"
-    held_back = retry(group, proposer, effects, drop=(Accept,))
+    undelivered = retry(group, proposer, effects, drop=(Accept,))
     assert (
         proposer.result is None
-    )  # the settled value alone is not enough: the stray accept could still count
-    group.pump(proposer, held_back)
+    )  # the committed value alone is not enough: the delayed accept could still count
+    group.pump(proposer, undelivered)
     assert proposer.result == Rejected("other value", b"zero")
-    assert not group.answer(stray).granted
+    assert not group.answer(delayed).granted
     assert group.change("q", read).value == b"zero"
 
 
-def test_a_nack_leads_to_a_rest_and_a_higher_ballot() -> None:
+def test_a_refusal_leads_to_a_backoff_and_a_higher_ballot() -> None:
     group = Group()
     for core in group.acceptors.values():
         core.handle_prepare(Prepare(1, KEY, Ballot(50, "z")))
     proposer = group.proposer("p", CompareAndSet(b"", b"one"))
     effects = group.pump(proposer, proposer.start(0))
-    resting = timers(effects)[-1]
-    assert 1 < resting <= 1 + PACE.initial_backoff_ns
-    group.pump(proposer, proposer.on_timer(resting))
+    backoff_end = timers(effects)[-1]
+    assert 1 < backoff_end <= 1 + RETRY_POLICY.initial_backoff_ns
+    group.pump(proposer, proposer.on_timer(backoff_end))
     assert proposer.result == Committed(b"one", Ballot(51, "p"))
 
 
@@ -215,7 +217,7 @@
     group.acceptors["core1"].write_failed()
     proposer = group.proposer("p", read)
     effects = group.pump(proposer, proposer.start(0))
-    assert timers(effects) == [PACE.attempt_timeout_ns]
+    assert timers(effects) == [RETRY_POLICY.attempt_timeout_ns]
     assert proposer.result is None
 
 
@@ -224,7 +226,7 @@
     proposer = group.proposer("p", CompareAndSet(b"", b"one"), learned=False)
     effects = group.pump(proposer, proposer.start(0))
     assert proposer.result == Committed(b"one", Ballot(2, "p"))
-    assert len(timers(effects)) == 3  # two attempts at the first round, no rest, one at the second
+    assert len(timers(effects)) == 3  # two first rounds without a backoff between them, and one second round
 
 
 def test_a_promise_of_a_changed_incarnation_is_not_counted() -> None:
@@ -249,7 +251,7 @@
     assert isinstance(proposer.result, Committed)
 
 
-def test_late_repeated_and_foreign_answers_are_ignored() -> None:
+def test_late_repeated_and_foreign_replies_are_ignored() -> None:
     group = Group()
     proposer = group.proposer("p", CompareAndSet(b"", b"one"))
     prepares = sends(proposer.start(0), Prepare)
@@ -259,9 +261,9 @@
     call = prepares[0].message.call
     stranger = Promise(call, KEY, "core9", "x", True, Ballot(1, "p"), NO_BALLOT, b"")
     assert proposer.handle(stranger, 1) == []
-    rested = proposer.on_timer(PACE.attempt_timeout_ns)
-    proposer.on_timer(timers(rested)[0])
-    assert proposer.handle(group.answer(prepares[1]), 1) == []  # of the attempt before
+    backed_off = proposer.on_timer(RETRY_POLICY.attempt_timeout_ns)
+    proposer.on_timer(timers(backed_off)[0])
+    assert proposer.handle(group.answer(prepares[1]), 1) == []  # a reply to the previous attempt
 
 
 def test_without_a_majority_the_change_ends_at_the_last_attempt() -> None:
@@ -273,10 +275,10 @@
         effects = group.pump(proposer, proposer.on_timer(timers(effects)[-1]), members=MEMBERS[:1])
         prepares += len(sends(effects, Prepare))
     assert proposer.result == Unavailable(in_doubt=False)
-    assert prepares == 2 * PACE.max_attempts
+    assert prepares == 2 * RETRY_POLICY.max_attempts
 
 
-def test_the_deadline_ends_the_change_and_tells_whether_it_is_in_doubt() -> None:
+def test_the_deadline_ends_the_change_and_reports_whether_it_is_in_doubt() -> None:
     group = Group()
     proposer = group.proposer("p", CompareAndSet(b"", b"one"), deadline=500)
     effects = group.pump(proposer, proposer.start(0), drop=(Accept,))
@@ -295,13 +297,13 @@
 
 
 @pytest.mark.parametrize(("key", "members"), [(RECOVERY_KEY, MEMBERS), (KEY, ()), (KEY, ("a", "a"))])
-def test_what_cannot_work_is_refused_at_once(key: str, members: tuple[str, ...]) -> None:
+def test_invalid_arguments_are_refused(key: str, members: tuple[str, ...]) -> None:
     with pytest.raises(ValueError):
         Proposer(ProposerIdentity("p"), key, MembersValue(FOUNDED, members), read, random.Random(1), DEADLINE)
 
 
-def test_a_value_that_is_held_here_is_read_from_here_and_a_newer_one_from_the_promise() -> None:
-    held = RegisterState(Ballot(1, "q"), Ballot(1, "q"), b"held")
+def test_the_local_value_is_used_unless_a_promise_has_a_newer_one() -> None:
+    local = RegisterState(Ballot(1, "q"), Ballot(1, "q"), b"held")
     for accepted, told, read in ((Ballot(1, "q"), b"", b"held"), (Ballot(2, "q"), b"newer", b"newer")):
         seen = []
         identity = ProposerIdentity("p")
@@ -313,10 +315,10 @@
             lambda value, seen=seen: seen.append(value) or Unchanged(),
             random.Random(1),
             DEADLINE,
-            read_local=lambda: held,
+            read_local=lambda: local,
         )
         prepare = next(effect.message for effect in proposer.start(0) if isinstance(effect, SendTo))
-        assert prepare.known == held.accepted
+        assert prepare.known == local.accepted
         for member in MEMBERS[: proposer.quorum]:
             proposer.handle(
                 Promise(prepare.call, "k", member, "disk", True, prepare.ballot, accepted, told), 1
--- a/tests/register/test_recovery.py
+++ b/tests/register/test_recovery.py
@@ -35,29 +35,30 @@
 LOST = "core0"
 OLD, NEW = Ballot(3, "p"), Ballot(5, "q")
 DEADLINE = 10**12
-PACE = RecoveryRetryPolicy(initial_read_timeout_ns=100, max_read_timeout_ns=400, announce_retry_ns=50)
+RETRY_POLICY = RecoveryRetryPolicy(initial_read_timeout_ns=100, max_read_timeout_ns=400, announce_retry_ns=50)
 
 
 class Group:
-    """Acceptors of which the first one has lost its disk; the test carries each message."""
+    """Acceptors, the first of which has lost its disk; the test delivers each message."""
 
     def __init__(
-        self, members: tuple[str, ...] = MEMBERS, cells: dict[str, dict[str, RegisterState]] | None = None
+        self, members: tuple[str, ...] = MEMBERS, states: dict[str, dict[str, RegisterState]] | None = None
     ):
         self.members = members
-        held = cells or {}
+        states_by_name = states or {}
         self.acceptors = {
-            name: Acceptor(name, f"{name}-disk", held.get(name, {}), True, keys=KEYS) for name in members
+            name: Acceptor(name, f"{name}-disk", states_by_name.get(name, {}), True, keys=KEYS)
+            for name in members
         }
 
-    def recovery(self, pace: RecoveryRetryPolicy = PACE) -> Recovery:
+    def recovery(self, retry_policy: RecoveryRetryPolicy = RETRY_POLICY) -> Recovery:
         return Recovery(
             LOST,
             ProposerIdentity("core0-new"),
             MembersValue(FOUNDED, self.members),
             KEYS,
             random.Random(1),
-            pace,
+            retry_policy,
         )
 
     def answer(self, send: SendTo):
@@ -82,10 +83,10 @@
     def recover(self) -> None:
         recovery = self.recovery()
         records = records_of(self.pump(recovery, recovery.start(0)))
-        cells = {
+        states = {
             record.key: RegisterState(record.promised, record.accepted, record.value) for record in records
         }
-        self.acceptors[LOST] = Acceptor(LOST, "core0-second-disk", cells, True, keys=KEYS)
+        self.acceptors[LOST] = Acceptor(LOST, "core0-second-disk", states, True, keys=KEYS)
 
 
 def records_of(effects: list[Effect]) -> tuple[RegisterRecord, ...]:
@@ -108,7 +109,7 @@
 
 def test_the_newest_value_is_adopted_under_a_ballot_above_all_promised() -> None:
     group = Group(
-        cells={
+        states={
             "core1": {"config": RegisterState(Ballot(9, "z"), OLD, b"old")},
             "core2": {"config": RegisterState(NEW, NEW, b"new")},
         }
@@ -139,7 +140,7 @@
     assert records_of(rest)
 
 
-def test_other_recovering_members_and_the_own_one_are_not_counted() -> None:
+def test_recovering_members_including_itself_are_not_counted() -> None:
     group = Group(members=("core0", "core1", "core2", "core3", "core4"))
     for name in ("core0", "core1", "core2"):
         group.acceptors[name].write_failed()
@@ -176,10 +177,10 @@
     assert records_of(group.pump(recovery, recovery.on_timer(timer_of(reads))))
 
 
-def waits_of(recovery: Recovery, tries: int, group: Group | None) -> list[int]:
-    """How long each try waits; members of `group` grant the announcement and answer no read."""
+def wait_times(recovery: Recovery, attempts: int, group: Group | None) -> list[int]:
+    """Return the wait of each attempt; members of `group` grant the announcement but answer no read."""
     at, waits, effects = 0, [], recovery.start(0)
-    for _ in range(tries):
+    for _ in range(attempts):
         for announcement in sends_of(effects) if group is not None else ():
             effects += recovery.handle(group.answer(announcement), at)
         waits.append(timer_of(effects) - at)
@@ -189,22 +190,22 @@
     return waits
 
 
-def test_the_wait_for_reads_grows_up_to_its_bound() -> None:
+def test_the_read_timeout_grows_up_to_its_maximum() -> None:
     group = Group()
-    waits = waits_of(group.recovery(), 5, group)
+    waits = wait_times(group.recovery(), 5, group)
     assert all(base <= wait <= 2 * base for base, wait in zip((100, 200, 400, 400, 400), waits, strict=True))
 
 
-def test_tries_that_find_too_few_members_come_at_a_steady_pace() -> None:
-    """They doubled up to 16 s: the next lost disk came before the copy, and nothing could be read any more."""
-    waits = waits_of(Group().recovery(), 12, None)
+def test_attempts_with_too_few_members_are_repeated_at_a_constant_interval() -> None:
+    """Doubling the interval up to 16 s delayed recovery until the next disk was lost and no quorum could be read."""
+    waits = wait_times(Group().recovery(), 12, None)
     assert all(50 <= wait <= 100 for wait in waits)
 
 
 @pytest.mark.parametrize(("catch_up_s", "most_s"), [(1, 0.7), (4, 1.4), (6, 2.0), (60, 2.0)])
-def test_a_try_falls_well_within_the_time_to_catch_up(catch_up_s: int, most_s: float) -> None:
-    pace = RecoveryRetryPolicy.for_catch_up(catch_up_s * 10**9)
-    assert 2 * pace.announce_retry_ns <= most_s * 10**9
+def test_an_attempt_is_made_well_within_the_catch_up_time(catch_up_s: int, most_s: float) -> None:
+    retry_policy = RecoveryRetryPolicy.for_catch_up(catch_up_s * 10**9)
+    assert 2 * retry_policy.announce_retry_ns <= most_s * 10**9
 
 
 def test_one_member_alone_is_too_few_to_recover() -> None:
@@ -212,7 +213,7 @@
         Recovery(LOST, ProposerIdentity("n"), MembersValue(FOUNDED, ("core0",)), KEYS, random.Random(1))
 
 
-def test_of_two_members_one_recovers_what_both_decided_from_the_other_and_from_nobody_else() -> None:
+def test_one_of_two_members_recovers_the_chosen_value_from_the_other_only() -> None:
     chosen = RegisterState(OLD, OLD, b"chosen")
     pair = ("core0", "core1")
     group = Group(pair, {name: {"config": chosen} for name in pair})
@@ -253,17 +254,17 @@
     assert reader.result.value == b"acknowledged"
 
 
-class TrustsEveryPromise(Proposer):
-    """The check of incarnations left out."""
+class UncheckedIncarnationProposer(Proposer):
+    """A proposer without the check of incarnations."""
 
     def _is_known(self, promise) -> bool:
         return True
 
 
-def play_forgotten_promise(kind: type[Proposer]) -> tuple[Proposer, bytes]:
-    """Join a promise from before the loss with one from after the recovery; return the slow writer and a last read.
+def play_lost_promise(kind: type[Proposer]) -> tuple[Proposer, bytes]:
+    """Combine a promise from before the loss with one from after the recovery; return the slow writer and a last read.
 
-    Between the two, a quick writer with a lower ballot commits at the recovered acceptor and another one.
+    Between the two, a fast writer with a lower ballot commits at the recovered acceptor and another one.
     """
     group = Group()
     known = {core.name: core.incarnation for core in group.acceptors.values()}
@@ -296,38 +297,38 @@
     return slow, reader.result.value
 
 
-def test_a_forgotten_promise_cannot_undo_a_later_commit() -> None:
-    slow, last_read = play_forgotten_promise(Proposer)
+def test_a_lost_promise_cannot_undo_a_later_commit() -> None:
+    slow, last_read = play_lost_promise(Proposer)
     assert last_read == b"quick"
     assert slow.result == Rejected("other value", b"quick")
 
 
-def test_without_the_check_of_incarnations_the_forgotten_promise_does_harm() -> None:
-    _, last_read = play_forgotten_promise(TrustsEveryPromise)
+def test_without_the_check_of_incarnations_a_lost_promise_undoes_a_commit() -> None:
+    _, last_read = play_lost_promise(UncheckedIncarnationProposer)
     assert last_read == b"slow"
 
 
-# ---- how many others are needed
+# ---- the number of other members needed
 
 
 @pytest.mark.parametrize(
-    ("size", "plain", "beside_all", "in_place"),
+    ("size", "plain", "when_added", "when_replacing"),
     [(2, 1, 1, 1), (3, 2, 2, 2), (4, 2, 2, 3), (5, 3, 3, 3), (6, 3, 3, 4)],
 )
-def test_half_of_the_members_or_more_are_needed(
-    size: int, plain: int, beside_all: int, in_place: int
+def test_at_least_half_of_the_members_are_needed(
+    size: int, plain: int, when_added: int, when_replacing: int
 ) -> None:
     names = tuple(f"core{number}" for number in range(size))
-    newcomer = names[-1]
-    assert recovery_quorum(MembersValue(3, names), newcomer) == plain
-    assert recovery_quorum(MembersValue(3, names, newcomer), newcomer) == beside_all
-    assert recovery_quorum(MembersValue(3, names, newcomer, "gone"), newcomer) == in_place
-    assert recovery_quorum(MembersValue(3, names, newcomer, "gone"), names[0]) == plain
+    joining = names[-1]
+    assert recovery_quorum(MembersValue(3, names), joining) == plain
+    assert recovery_quorum(MembersValue(3, names, joining), joining) == when_added
+    assert recovery_quorum(MembersValue(3, names, joining, "gone"), joining) == when_replacing
+    assert recovery_quorum(MembersValue(3, names, joining, "gone"), names[0]) == plain
     assert recovery_quorum(MembersValue(3, names, leaving="gone"), names[0]) == size // 2 + 1
 
 
 @pytest.mark.parametrize("old_size", [2, 3, 4, 5, 6, 7])
-def test_who_joins_beside_all_and_as_many_lost_ones_as_are_borne_recover(old_size: int) -> None:
+def test_an_added_member_and_the_tolerated_number_of_lost_ones_recover(old_size: int) -> None:
     names = tuple(f"core{number}" for number in range(old_size))
     members = added(MembersValue(FOUNDED, names), "new")
     lost = names[: (old_size - 1) // 2]
@@ -335,13 +336,13 @@
     waiting = {"new", *lost}
     while waiting:
         able = {name for name in waiting if len(voting) >= recovery_quorum(members, name)}
-        assert able, f"{sorted(waiting)} wait for each other"
+        assert able, f"deadlock: {sorted(waiting)} wait for each other"
         voting |= able
         waiting -= able
 
 
 @pytest.mark.parametrize("size", [2, 3, 4, 5, 6, 7])
-def test_each_quorum_without_the_lost_member_meets_all_that_it_may_recover_from(size: int) -> None:
+def test_each_quorum_without_the_lost_member_intersects_each_recovery_quorum(size: int) -> None:
     names = tuple(f"core{number}" for number in range(size))
     members = MembersValue(FOUNDED, names)
     others = names[1:]
--- a/tests/register/test_swarm.py
+++ b/tests/register/test_swarm.py
@@ -22,7 +22,7 @@
     longest_fault_ns=300 * MILLISECOND,
     longest_outage_ns=2 * MILLISECOND,
     fault_weights=(("stall_and_wipe", 1),),
-    stalled_share=0.8,  # at 0.5 one seed in a hundred finds the planted fault, at 0.8 three in two hundred
+    stalled_share=0.8,  # 0.8 finds the planted fault in 3 of 200 seeds, 0.5 in 1 of 100
 )
 
 
@@ -37,11 +37,11 @@
     ],
     ids=["three", "five", "stalls_and_wipes", "member_changes", "member_changes_of_five"],
 )
-def test_no_seed_violates_the_history(scenario: Scenario, seeds: range) -> None:
+def test_no_seed_violates_the_register_history(scenario: Scenario, seeds: range) -> None:
     assert first_violation(scenario, seeds) is None
 
 
-def test_the_faults_happen_and_the_group_works_between_them() -> None:
+def test_all_faults_occur_and_changes_are_committed_between_them() -> None:
     figures = run_seed(Scenario(), 0).figures
     for seed in range(1, 10):
         figures += run_seed(Scenario(), seed).figures
@@ -54,7 +54,7 @@
     assert figures["committed"] > figures["unavailable"]
 
 
-def test_a_seed_gives_the_same_run_each_time() -> None:
+def test_a_seed_reproduces_the_same_run() -> None:
     assert run_seed(Scenario(), 5) == run_seed(Scenario(), 5)
 
 
@@ -65,17 +65,17 @@
 )
 
 
-CHANGES_ALONE = replace(MEMBER_CHANGES, fault_weights=(("member_change", 8), ("client_crash", 4)))
-NOBODY_IS_TOLD = [(RegisterMachine, "publish", planted_faults.publish_to_nobody)]
+ONLY_MEMBER_CHANGES = replace(MEMBER_CHANGES, fault_weights=(("member_change", 8), ("client_crash", 4)))
+NO_PUBLICATION = [(RegisterMachine, "publish", planted_faults.publish_to_nobody)]
 ANY_MEMBER_SET = [
-    *NOBODY_IS_TOLD,
+    *NO_PUBLICATION,
     (register_host, "Acceptor", planted_faults.AnySetAcceptor),
     (RegisterHost, "handle", planted_faults.handle_any_set),
 ]
 UNRECOVERED = [(RegisterHost, "_recover", planted_faults.vote_without_recovery)]
 REPLY_BEFORE_RECORD = [(RegisterHost, "_vote", planted_faults.reply_before_record)]
 PLANTED = {
-    "any_member_set": (CHANGES_ALONE, ANY_MEMBER_SET),
+    "any_member_set": (ONLY_MEMBER_CHANGES, ANY_MEMBER_SET),
     "joins_unrecovered": (NO_WIPES, UNRECOVERED),
     "short_quorum": (Scenario(), [(register_host, "Proposer", planted_faults.ShortQuorumProposer)]),
     "reply_before_sync": (Scenario(), REPLY_BEFORE_RECORD),
@@ -89,20 +89,20 @@
 
 
 @pytest.mark.parametrize("fault", sorted(PLANTED))
-def test_a_planted_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_planted_fault_is_detected(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     scenario, replaced = PLANTED[fault]
     for owner, attribute, planted in replaced:
         monkeypatch.setattr(owner, attribute, planted)
     assert first_violation(scenario, range(100)) is not None
 
 
-def test_messages_alone_keep_to_one_member_set(monkeypatch: pytest.MonkeyPatch) -> None:
-    for owner, attribute, planted in NOBODY_IS_TOLD:
+def test_messages_alone_enforce_one_member_set(monkeypatch: pytest.MonkeyPatch) -> None:
+    for owner, attribute, planted in NO_PUBLICATION:
         monkeypatch.setattr(owner, attribute, planted)
-    assert first_violation(CHANGES_ALONE, range(30)) is None
+    assert first_violation(ONLY_MEMBER_CHANGES, range(30)) is None
 
 
-def test_the_referee_knows_a_fork_a_loss_a_step_back_and_a_refused_value() -> None:
+def test_the_referee_detects_forks_losses_regressions_and_refused_values() -> None:
     referee = Referee(("fork", "loss", "back", "refused", "good"))
     for history in referee.histories.values():
         history.proposed(b"a", b"")
