--- a/tests/state/disk.py
+++ b/tests/state/disk.py
@@ -1,6 +1,7 @@
-"""A file system in memory that fails on purpose: at a given call, in a given way; it can die and be found again.
+"""A file system in memory with fault injection: a given call fails in a given way, or the machine crashes in it.
 
-What was written and not synced may be lost, whole or in part, when the machine dies: `crash` decides by a seed.
+Data that was written but not synced may be lost, completely or in part, when the machine crashes: `crash` decides by a
+seed.
 """
 
 from __future__ import annotations
@@ -9,24 +10,24 @@
 import random
 from dataclasses import dataclass, field
 
-WAYS = ("ENOSPC", "EIO", "short", "crash before", "crash after")
+FAILURE_KINDS = ("ENOSPC", "EIO", "short", "crash before", "crash after")
 
 
-class Died(BaseException):
-    """The machine died within a call."""
+class SimulatedCrash(BaseException):
+    """A simulated machine crash within a call."""
 
 
 @dataclass
 class Node:
-    """A file: what a reader sees, and what is safe."""
+    """A file: `data` is what a reader sees, `safe` what survives a crash."""
 
     data: bytes = b""
     safe: bytes = b""
 
 
 @dataclass
-class Failing:
-    """Implements the store's `FileSystem`. `fail_at` is the number of the call that fails, in the way `how`."""
+class FaultyFileSystem:
+    """Implements the store's `FileSystem`; call number `fail_at` fails in the way `how`."""
 
     fail_at: int = -1
     how: str = "EIO"
@@ -38,19 +39,19 @@
     locked: bool = False
 
     def _call(self) -> bool:
-        """Count a call; true if it is to be a short one."""
+        """Count a call and fail it if it is due; return whether it should transfer only part of the data."""
         self.calls += 1
         if self.calls != self.fail_at + 1:
             return False
         if self.how in ("ENOSPC", "EIO"):
             raise OSError(getattr(errno, self.how), self.how)
         if self.how == "crash before":
-            raise Died
+            raise SimulatedCrash
         return self.how == "short"
 
     def _after(self) -> None:
         if self.calls == self.fail_at + 1 and self.how == "crash after":
-            raise Died
+            raise SimulatedCrash
 
     def create_folder(self, path: str) -> None:
         self._call()
@@ -61,10 +62,10 @@
         self._after()
         return sorted(name.rpartition("/")[2] for name in self.nodes)
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, max_bytes: int) -> bytes:
         short = self._call()
         self._after()
-        data = self.nodes[path].data[:most]
+        data = self.nodes[path].data[:max_bytes]
         return data[: len(data) // 2] if short else data
 
     def create(self, path: str) -> int:
@@ -128,10 +129,10 @@
         self._after()
         return self.last
 
-    def crash(self, seed: int) -> Failing:
-        """The machine dies: names and bytes that were not synced are there or not, bytes perhaps in part."""
+    def crash(self, seed: int) -> FaultyFileSystem:
+        """Return the disk after a crash: unsynced names may or may not survive, unsynced bytes fully or in part."""
         draw = random.Random(seed)
-        found = Failing()
+        survivors = FaultyFileSystem()
         names = dict(self.safe_names)
         for name, node in self.nodes.items():
             if self.safe_names.get(name) is not node and draw.random() < 0.5:
@@ -144,9 +145,9 @@
             if node.data[: len(data)] == data:
                 extra = node.data[len(data) :]
                 data += extra[: draw.randint(0, len(extra))]
-                if extra and draw.random() < 0.3:  # a torn page: blocks of zeros among what came
-                    at = draw.randint(len(node.safe), len(data))
-                    data = data[:at] + bytes(len(data) - at)
-            found.nodes[name] = Node(data, data)
-        found.safe_names = dict(found.nodes)
-        return found
+                if extra and draw.random() < 0.3:  # a torn page: zeros in place of some of the unsynced bytes
+                    start = draw.randint(len(node.safe), len(data))
+                    data = data[:start] + bytes(len(data) - start)
+            survivors.nodes[name] = Node(data, data)
+        survivors.safe_names = dict(survivors.nodes)
+        return survivors
--- a/tests/state/test_restart.py
+++ b/tests/state/test_restart.py
@@ -1,4 +1,4 @@
-"""The real program with a folder for its state: ended, killed, and with folders that are of no use."""
+"""The real program with a state folder: stopped, killed, and with unusable folders."""
 
 from __future__ import annotations
 
@@ -37,12 +37,14 @@
 
 
 def kept(folder: Path) -> tuple[dict, dict] | None:
-    whole = [p for p in folder.glob("checkpoint.*") if p.suffix[1:].isdigit()]  # and not one in writing
+    whole = [
+        p for p in folder.glob("checkpoint.*") if p.suffix[1:].isdigit()
+    ]  # not one that is being written
     newest = max(whole, key=lambda p: int(p.suffix[1:]), default=None)
     return None if newest is None else unpack(fmt.read(newest.read_bytes()).records)
 
 
-def test_a_planned_end_hands_over_and_a_killed_one_leaves_its_last_second(
+def test_a_planned_stop_stores_all_state_and_a_kill_loses_at_most_the_last_second(
     tmp_path: Path, discovery: Discovery
 ) -> None:
     folder = tmp_path / "state"
@@ -63,7 +65,7 @@
     assert three.ask("c").head.status == 200 and ended(three, signal.SIGTERM) == 0
 
 
-def test_a_folder_of_no_use_costs_one_line(tmp_path: Path, discovery: Discovery) -> None:
+def test_an_unusable_folder_only_produces_one_log_line(tmp_path: Path, discovery: Discovery) -> None:
     (tmp_path / "file").write_text("")
     folder = tmp_path / "spoilt"
     folder.mkdir()
@@ -82,7 +84,9 @@
     assert ended(holder, signal.SIGTERM) == 0
 
 
-def test_a_bad_state_section_is_one_line_and_exit_2(tmp_path: Path, discovery: Discovery) -> None:
+def test_an_invalid_state_section_gives_one_line_and_exit_status_2(
+    tmp_path: Path, discovery: Discovery
+) -> None:
     program = started(tmp_path, discovery, "one", tmp_path / "s")
     assert ended(program, signal.SIGTERM) == 0
     config = json.loads(program.path.read_text())
--- a/tests/state/test_state_command.py
+++ b/tests/state/test_state_command.py
@@ -1,4 +1,4 @@
-"""`iristrack state` over sound, damaged, newer and foreign folders."""
+"""`iristrack state` on valid, damaged, newer and foreign folders."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return snapshot
 
 
-def test_changes_behind_a_checkpoint_say_what_a_new_one_would() -> None:
+def test_a_checkpoint_with_changes_equals_a_new_checkpoint() -> None:
     host = trained_host()
     old = pack(host.balancer.snapshot(host.now), 1, "n", "v")
     host.serve(50)
@@ -46,7 +46,7 @@
     assert unpack([]) is None and unpack([*new, ("later kind", 1)]) == unpack(new)
 
 
-def test_a_folder_is_shown_checked_carried_over_and_compacted(tmp_path: Path) -> None:
+def test_a_folder_is_inspected_verified_exported_imported_and_compacted(tmp_path: Path) -> None:
     snapshot = filled(tmp_path / "a")
     shown = state("inspect", tmp_path / "a")
     assert shown.returncode == 0 and "of n1, written by 0.2" in shown.stdout and "s5" not in shown.stdout
@@ -63,7 +63,7 @@
     assert (tmp_path / "a" / "checkpoint.1").exists() and not (tmp_path / "a" / "journal.1").exists()
 
 
-def test_damage_is_told_with_its_byte_and_what_was_saved(tmp_path: Path) -> None:
+def test_damage_is_reported_with_its_offset_and_the_saved_records(tmp_path: Path) -> None:
     filled(tmp_path)
     journal = tmp_path / "journal.0"
     data = journal.read_bytes()
@@ -76,7 +76,7 @@
     assert state("inspect", tmp_path).returncode == 2
 
 
-def test_what_cannot_be_used_is_one_line(tmp_path: Path) -> None:
+def test_unusable_input_gives_one_line(tmp_path: Path) -> None:
     (tmp_path / "x.json").write_text('{"meta": 3}')
     for words, code in (
         (("inspect", tmp_path / "none"), 2),
--- a/tests/state/test_state_store.py
+++ b/tests/state/test_state_store.py
@@ -1,4 +1,4 @@
-"""The store under all that a disk does: cuts, flips, failed calls, deaths within a call, two processes, newer files."""
+"""The state store under disk failures: truncation, bit flips, failed calls, crashes, two processes, newer formats."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 from iristrack.store import state_format as fmt
 from iristrack.store.state_store import StateFolderBusy, StateStore
-from tests.state.disk import WAYS, Died, Failing
+from tests.state.disk import FAILURE_KINDS, FaultyFileSystem, SimulatedCrash
 
-OPENING = 3  # calls that must succeed for a folder to be used at all
+OPENING = 3  # calls that must succeed before a folder can be used
 RECORDS = [("class", {"name": "view", "mean": 1.5}), ("server", ["a", 7, [1, 2, 3]]), ("share", "é" * 9)]
 
 
-def opened(files: Failing, said: list[str] | None = None) -> tuple[StateStore, object]:
-    store = StateStore("f", "1.0", (said if said is not None else []).append, files)
+def opened(files: FaultyFileSystem, warnings: list[str] | None = None) -> tuple[StateStore, object]:
+    store = StateStore("f", "1.0", (warnings if warnings is not None else []).append, files)
     return store, store.open()
 
 
-def test_every_cut_of_a_file_is_a_valid_prefix_or_nothing() -> None:
+def test_a_file_truncated_anywhere_is_a_valid_prefix_or_discarded() -> None:
     data = fmt.checkpoint("1.0", RECORDS)
     assert fmt.read(data).verdict is fmt.Verdict.COMPLETE and fmt.read(data).records == RECORDS
     seen = set()
@@ -36,22 +36,22 @@
     assert seen == {0, 1, 2, 3}
 
 
-def test_no_single_bit_flip_is_believed() -> None:
+def test_every_single_bit_flip_is_detected() -> None:
     data = fmt.checkpoint("1.0", RECORDS)
     for bit in range(len(data) * 8):
-        spoilt = bytearray(data)
-        spoilt[bit // 8] ^= 1 << bit % 8
-        read = fmt.read(bytes(spoilt))
+        corrupt = bytearray(data)
+        corrupt[bit // 8] ^= 1 << bit % 8
+        read = fmt.read(bytes(corrupt))
         assert read.verdict is not fmt.Verdict.COMPLETE and read.verdict is not fmt.Verdict.NEWER
         assert read.records == RECORDS[: len(read.records)] and read.end <= bit // 8
 
 
 @given(st.binary(max_size=400), st.integers(0, 60), st.booleans())
-def test_the_reader_takes_any_bytes(noise: bytes, cut: int, behind: bool) -> None:
+def test_the_reader_accepts_arbitrary_bytes(noise: bytes, cut: int, is_appended: bool) -> None:
     data = fmt.checkpoint("1.0", RECORDS)
-    read = fmt.read(data[:cut] + noise if not behind else data + noise)
+    read = fmt.read(data[:cut] + noise if not is_appended else data + noise)
     assert read.records == RECORDS[: len(read.records)]
-    if noise and behind:
+    if noise and is_appended:
         assert read.verdict is not fmt.Verdict.COMPLETE
 
 
@@ -59,40 +59,38 @@
 
 
 @pytest.mark.parametrize("file", CORPUS, ids=[file.stem for file in CORPUS])
-def test_files_of_the_corpus_are_judged_as_their_names_say(file: Path) -> None:
+def test_corpus_files_are_read_as_their_names_say(file: Path) -> None:
     read = fmt.read(file.read_bytes())
     assert read.verdict.value == file.stem.partition("-")[0]
     assert bool(read.why) is (read.verdict is not fmt.Verdict.COMPLETE) and read.end <= file.stat().st_size
 
 
 @given(st.sampled_from(CORPUS), st.data())
-def test_the_corpus_changed_at_random_is_never_believed_beyond_its_records(
-    file: Path, data: st.DataObject
-) -> None:
+def test_no_records_are_invented_from_randomly_modified_corpus_files(file: Path, data: st.DataObject) -> None:
     whole = fmt.read((file.parent / "whole-checkpoint.bin").read_bytes()).records
-    spoilt = bytearray(file.read_bytes())
+    corrupt = bytearray(file.read_bytes())
     for _ in range(data.draw(st.integers(1, 6))):
-        if spoilt:
-            spoilt[data.draw(st.integers(0, len(spoilt) - 1))] = data.draw(st.integers(0, 255))
-    read = fmt.read(bytes(spoilt[: data.draw(st.integers(0, len(spoilt)))]))
+        if corrupt:
+            corrupt[data.draw(st.integers(0, len(corrupt) - 1))] = data.draw(st.integers(0, 255))
+    read = fmt.read(bytes(corrupt[: data.draw(st.integers(0, len(corrupt)))]))
     assert read.records == whole[: len(read.records)]
 
 
-def test_bounds_are_kept() -> None:
+def test_size_limits_are_enforced() -> None:
     with pytest.raises(fmt.TooLarge, match="65536 at most"):
         fmt.record("x", b"." * 70_000)
     with pytest.raises(fmt.TooLarge, match="8388608 at most"):
         fmt.checkpoint("1", [("x", b"." * 60_000)] * 150)
-    said: list[str] = []
-    store, _ = opened(Failing(), said)
-    assert store.checkpoint([]) and not store.append([("x", b"." * 70_000)]) and "left out" in said[0]
+    warnings: list[str] = []
+    store, _ = opened(FaultyFileSystem(), warnings)
+    assert store.checkpoint([]) and not store.append([("x", b"." * 70_000)]) and "left out" in warnings[0]
     full = [("x", b"." * 60_000)] * 100
     assert store.append(full) and not store.append(full), "a journal has a bound"
 
 
-def life(files: Failing, said: list[str], tried: list[list]) -> None:
-    """A process that writes checkpoints and changes; every state that it tried to have goes to `tried`."""
-    store = StateStore("f", "1.0", said.append, files)
+def run_process(files: FaultyFileSystem, warnings: list[str], tried: list[list]) -> None:
+    """Write checkpoints and changes; `tried` collects every attempted state."""
+    store = StateStore("f", "1.0", warnings.append, files)
     found = store.open()
     now = found.records + found.changes
     tried.append(now)
@@ -109,17 +107,17 @@
     store.close()
 
 
-def test_each_call_failed_once_in_each_way_leaves_a_state_that_was() -> None:
-    clean = Failing()
-    life(clean, [], [])
+def test_after_any_single_failed_call_an_earlier_state_is_read() -> None:
+    clean = FaultyFileSystem()
+    run_process(clean, [], [])
     assert clean.calls > 40
-    for how in WAYS:
+    for how in FAILURE_KINDS:
         for at in range(clean.calls):
-            files, tried = Failing(at, how), []
+            files, tried = FaultyFileSystem(at, how), []
             died = False
             try:
-                life(files, [], tried)
-            except Died:
+                run_process(files, [], tried)
+            except SimulatedCrash:
                 died = True
             assert died == ("crash" in how)
             prefixes = [state[:j] for state in [[], *tried] for j in range(len(state) + 1)]
@@ -132,13 +130,13 @@
                     assert found.generation >= 0, (how, at, "one failed call must not cost both generations")
 
 
-def test_a_failed_call_is_told_and_the_next_checkpoint_mends_it() -> None:
-    said: list[str] = []
-    files = Failing()
-    store, _ = opened(files, said)
+def test_a_failed_call_is_reported_and_the_next_checkpoint_recovers() -> None:
+    warnings: list[str] = []
+    files = FaultyFileSystem()
+    store, _ = opened(files, warnings)
     assert store.checkpoint(RECORDS) and store.append([("a", 1)])
     files.fail_at, files.how = files.calls, "ENOSPC"
-    assert not store.append([("a", 2)]) and "ENOSPC" in said[0]
+    assert not store.append([("a", 2)]) and "ENOSPC" in warnings[0]
     assert not store.append([("a", 3)]), "nothing may stand behind what may be half a record"
     assert store.checkpoint(RECORDS) and store.append([("a", 4)])
     store.close()
@@ -146,7 +144,7 @@
     assert found.changes == [("a", 4)] and found.generation == 1
 
 
-def test_two_processes_never_share_a_folder(tmp_path: Path) -> None:
+def test_two_processes_cannot_use_one_folder(tmp_path: Path) -> None:
     one, other = (StateStore(str(tmp_path / "s"), "1", print) for _ in range(2))
     one.open()
     with pytest.raises(StateFolderBusy, match="in use"):
@@ -156,7 +154,7 @@
     other.close()
 
 
-def test_a_newer_files_generation_is_kept_aside_and_never_overwritten(tmp_path: Path) -> None:
+def test_a_generation_in_a_newer_format_is_set_aside_and_never_overwritten(tmp_path: Path) -> None:
     folder = tmp_path / "s"
     store = StateStore(str(folder), "1", print)
     store.open()
@@ -176,7 +174,7 @@
     assert sorted(os.listdir(folder)) == ["checkpoint.5", "checkpoint.6", "lock", "newer.checkpoint.1"]
 
 
-def test_what_is_left_behind_is_cleared_and_a_spoilt_generation_falls_back(tmp_path: Path) -> None:
+def test_leftover_files_are_removed_and_a_corrupt_generation_is_skipped(tmp_path: Path) -> None:
     store = StateStore(str(tmp_path), "1", print)
     store.open()
     store.checkpoint([("old", 1)])
@@ -199,10 +197,10 @@
     assert (tmp_path / "checkpoint.2").exists()
 
 
-def test_a_folder_that_cannot_be_used_costs_one_line_and_no_more(tmp_path: Path) -> None:
+def test_an_unusable_folder_only_produces_one_log_line(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("no folder")
-    said: list[str] = []
-    store = StateStore(str(tmp_path / "file"), "1", said.append)
-    assert store.open().generation == -1 and len(said) == 1
+    warnings: list[str] = []
+    store = StateStore(str(tmp_path / "file"), "1", warnings.append)
+    assert store.open().generation == -1 and len(warnings) == 1
     assert not store.checkpoint(RECORDS) and not store.append(RECORDS) and not store.sync()
     store.close()
--- a/tests/state/test_state_writer.py
+++ b/tests/state/test_state_writer.py
@@ -1,4 +1,4 @@
-"""The writer beside the loop: bounds on its queue, its rate and its complaints, and that it never costs a wait."""
+"""The state writer: limits on its queue, write rate and warnings, and that it never blocks the caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from iristrack.recovery.pack import unpack
 from iristrack.store.state_store import StateStore
 from iristrack.store.state_writer import CHECKPOINT_INTERVAL_S, MAX_QUEUED_SNAPSHOTS, StateWriter
-from tests.state.disk import Failing
+from tests.state.disk import FaultyFileSystem
 from tests.state.test_aging import trained_host
 
 
@@ -20,53 +20,55 @@
         return self.now
 
 
-def writer(files: Failing, said: list[str], rate: int = 64 * 1024) -> tuple[StateWriter, Clock]:
+def writer(files: FaultyFileSystem, warnings: list[str], rate: int = 64 * 1024) -> tuple[StateWriter, Clock]:
     clock = Clock()
-    made = StateWriter(StateStore("f", "1", said.append, files), "n", said.append, rate, clock)
-    made.store.open()
-    return made, clock
+    state_writer = StateWriter(
+        StateStore("f", "1", warnings.append, files), "n", warnings.append, rate, clock
+    )
+    state_writer.store.open()
+    return state_writer, clock
 
 
-def kept(files: Failing) -> tuple[dict, dict] | None:
+def read_state(files: FaultyFileSystem) -> tuple[dict, dict] | None:
     files.locked = False
     found = StateStore("f", "1", print, files).open()
     return unpack(found.records + found.changes)
 
 
-def test_changes_are_synced_once_a_second_and_a_checkpoint_comes_each_minute() -> None:
-    files, said = Failing(), []
-    made, clock = writer(files, said)
+def test_changes_are_synced_once_a_second_and_a_checkpoint_is_written_each_minute() -> None:
+    files, warnings = FaultyFileSystem(), []
+    state_writer, clock = writer(files, warnings)
     host = trained_host()
-    assert made.write(host.balancer.snapshot(host.now), 1)
+    assert state_writer.write(host.balancer.snapshot(host.now), 1)
     written = []
     for tick in range(130):
         clock.now += 0.5
         host.serve(2)
-        written.append(made.write(host.balancer.snapshot(host.now), tick + 2))
+        written.append(state_writer.write(host.balancer.snapshot(host.now), tick + 2))
     assert sum(written) == 65 and not any(a and b for a, b in itertools.pairwise(written))
     assert sorted(n for n in files.nodes if "checkpoint" in n) == ["f/checkpoint.0", "f/checkpoint.1"]
-    assert CHECKPOINT_INTERVAL_S < 130 * 0.5 and kept(files)[1]["at"] == 131 and not said
+    assert CHECKPOINT_INTERVAL_S < 130 * 0.5 and read_state(files)[1]["at"] == 131 and not warnings
 
 
-def test_the_rate_is_bounded_and_nothing_is_lost_by_waiting() -> None:
-    files, said = Failing(), []
-    made, clock = writer(files, said, rate=100)
+def test_the_write_rate_is_limited_and_delayed_changes_are_not_lost() -> None:
+    files, warnings = FaultyFileSystem(), []
+    state_writer, clock = writer(files, warnings, rate=100)
     host = trained_host()
-    made.write(host.balancer.snapshot(host.now), 1)
+    state_writer.write(host.balancer.snapshot(host.now), 1)
     first = sum(len(n.data) for n in files.nodes.values())
     for tick in range(50):
         clock.now += 1.0
         host.serve(2)
-        made.write(host.balancer.snapshot(host.now), tick + 2)
+        state_writer.write(host.balancer.snapshot(host.now), tick + 2)
     journal = sum(len(n.data) for n in files.nodes.values()) - first
-    assert made.skipped > 0 and journal <= 100 * 60
-    assert made.write(host.balancer.snapshot(host.now), 99, last=True)
-    assert kept(files)[0] == unpack(made._written_records)[0]
+    assert state_writer.skipped > 0 and journal <= 100 * 60
+    assert state_writer.write(host.balancer.snapshot(host.now), 99, last=True)
+    assert read_state(files)[0] == unpack(state_writer._written_records)[0]
 
 
-def test_a_full_disk_is_one_line_in_half_a_minute() -> None:
-    files, said = Failing(), []
-    made, clock = writer(files, said)
+def test_a_full_disk_is_logged_at_most_once_in_half_a_minute() -> None:
+    files, warnings = FaultyFileSystem(), []
+    state_writer, clock = writer(files, warnings)
     host = trained_host()
     snapshot = host.balancer.snapshot(host.now)
 
@@ -77,14 +79,14 @@
     for tick in range(100):
         clock.now += 1.0
         host.serve(1)
-        made.write(host.balancer.snapshot(host.now) if tick else snapshot, tick)
-    assert 1 <= len(said) <= 4 and "No space left" in said[0]
+        state_writer.write(host.balancer.snapshot(host.now) if tick else snapshot, tick)
+    assert 1 <= len(warnings) <= 4 and "No space left" in warnings[0]
     del files.write
     clock.now += CHECKPOINT_INTERVAL_S
-    assert made.write(host.balancer.snapshot(host.now), 500) and kept(files)[1]["at"] == 500
+    assert state_writer.write(host.balancer.snapshot(host.now), 500) and read_state(files)[1]["at"] == 500
 
 
-def test_offers_never_wait_and_the_queue_drops_the_oldest(tmp_path: Path) -> None:
+def test_offer_never_blocks_and_the_queue_drops_the_oldest(tmp_path: Path) -> None:
     store = StateStore(str(tmp_path), "1", print)
     held = threading.Event()
     real = store.checkpoint
@@ -94,25 +96,27 @@
         return real(records)
 
     store.checkpoint = slow
-    made = StateWriter(store, "n", print)
-    made.start()
+    state_writer = StateWriter(store, "n", print)
+    state_writer.start()
     host = trained_host()
     snapshot = host.balancer.snapshot(host.now)
     for i in range(MAX_QUEUED_SNAPSHOTS * 5):
-        made.offer(snapshot, i)
-    assert made.dropped >= MAX_QUEUED_SNAPSHOTS * 3 and len(made._queue) <= MAX_QUEUED_SNAPSHOTS
+        state_writer.offer(snapshot, i)
+    assert (
+        state_writer.dropped >= MAX_QUEUED_SNAPSHOTS * 3 and len(state_writer._queue) <= MAX_QUEUED_SNAPSHOTS
+    )
     held.set()
-    assert made.close(snapshot, 777, 60)
+    assert state_writer.close(snapshot, 777, 60)
     found = StateStore(str(tmp_path), "1", print).open()
     assert unpack(found.records + found.changes)[1]["at"] == 777
 
 
-def test_a_folder_in_use_is_told_and_serving_goes_on(tmp_path: Path) -> None:
+def test_a_folder_in_use_is_reported_without_an_error(tmp_path: Path) -> None:
     holder = StateStore(str(tmp_path), "1", print)
     holder.open()
-    said: list[str] = []
-    made = StateWriter(StateStore(str(tmp_path), "1", print), "n", said.append)
-    assert made.start().generation == -1 and "in use" in said[0]
-    made.offer({}, 1)
-    assert not made.close({}, 2, 1)
+    warnings: list[str] = []
+    state_writer = StateWriter(StateStore(str(tmp_path), "1", print), "n", warnings.append)
+    assert state_writer.start().generation == -1 and "in use" in warnings[0]
+    state_writer.offer({}, 1)
+    assert not state_writer.close({}, 2, 1)
     holder.close()
