--- a/iristrack/dataplane/attempts.py
+++ b/iristrack/dataplane/attempts.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from enum import Enum
 
-from iristrack.dataplane.clients import ClientConnection, ClientLeft
+from iristrack.dataplane.clients import ClientConnection, ClientDisconnected
 from iristrack.http1 import messages as http
 from iristrack.http1.connection import RECEIVE, Address, Link, connect
 from iristrack.net.links import Links
@@ -52,7 +52,7 @@
     """The time for the request is over while the server was working."""
 
 
-class Verdict(Enum):
+class ResponseClass(Enum):
     """What an answer's head says."""
 
     SUCCESS = "success"
@@ -61,15 +61,15 @@
     UNKNOWN = "unknown"  # a status that promises what the server did not say: it may have run
 
 
-def verdict(head: http.Head) -> Verdict:
+def classify_response(head: http.Head) -> ResponseClass:
     """Judge an answer by its head alone."""
     if NOT_EXECUTED in head.fields or head.status == 421:
-        return Verdict.NOT_EXECUTED
+        return ResponseClass.NOT_EXECUTED
     if 200 <= head.status < 300:
-        return Verdict.SUCCESS if SEAL in head.fields else Verdict.UNKNOWN
+        return ResponseClass.SUCCESS if SEAL in head.fields else ResponseClass.UNKNOWN
     if head.status in (408, 421, 429, 503):
-        return Verdict.UNKNOWN
-    return Verdict.FAILURE
+        return ResponseClass.UNKNOWN
+    return ResponseClass.FAILURE
 
 
 class Attempt:
@@ -183,7 +183,7 @@
         reader.finish()
 
     def _receive(self) -> http.Message | None:
-        """Wait for bytes and feed them; raises `AttemptFailed`, `DeadlinePassed` or `ClientLeft`."""
+        """Wait for bytes and feed them; raises `AttemptFailed`, `DeadlinePassed` or `ClientDisconnected`."""
         link = self._link
         reader = link.reader
         try:
@@ -207,9 +207,9 @@
         """Wait for the next bytes, also where some are there already: other tasks and the deadline have their turn."""
         while True:
             if self.client.left:
-                raise ClientLeft
+                raise ClientDisconnected
             if self._wait_readable(link) == WOKEN and self.client.left:
-                raise ClientLeft
+                raise ClientDisconnected
             with suppress(BlockingIOError):
                 return link.sock.recv(RECEIVE)
 
@@ -234,7 +234,7 @@
         view = memoryview(request)
         while view:
             if self.client.left:
-                raise ClientLeft
+                raise ClientDisconnected
             try:
                 view = view[link.sock.send(view) :]
             except BlockingIOError:
--- a/iristrack/dataplane/client_answer.py
+++ b/iristrack/dataplane/client_response.py
@@ -10,7 +10,7 @@
 )
 
 
-class ClientAnswer:
+class ClientResponse:
     """Written whole, or begun, continued in pieces and ended; an answer that breaks off never looks complete."""
 
     def __init__(self, client: ClientConnection, keep: bool, version: int) -> None:
--- a/iristrack/dataplane/clients.py
+++ b/iristrack/dataplane/clients.py
@@ -32,7 +32,7 @@
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class ClientLeft(Exception):
+class ClientDisconnected(Exception):
     """The client has closed its connection, or takes nothing any more."""
 
 
@@ -83,14 +83,14 @@
             self.task.wake()
 
     def write(self, data: bytes) -> None:
-        """Write it all; raises `ClientLeft` where the client takes nothing any more."""
+        """Write it all; raises `ClientDisconnected` where the client takes nothing any more."""
         if self.left:
-            raise ClientLeft
+            raise ClientDisconnected
         try:
             send_all(self.sock, data, self._wait_writable)
         except OSError:
             self.left = True
-            raise ClientLeft from None
+            raise ClientDisconnected from None
 
     def _wait_writable(self) -> None:
         watching = self._watching
@@ -187,7 +187,7 @@
         try:
             self._converse(client)
             self._part(client)
-        except (OSError, http.Truncated, ClientLeft, Cancelled):
+        except (OSError, http.Truncated, ClientDisconnected, Cancelled):
             pass
         finally:
             client.unwatch()
--- a/iristrack/dataplane/control_link.py
+++ b/iristrack/dataplane/control_link.py
@@ -162,12 +162,12 @@
             handler = self._handlers.get(message.topic)
             if handler is not None:
                 handler(message.value)
-                self.plane.start_gate.look()
+                self.plane.startup_gate.look()
         elif isinstance(message, ConfigurationAmendment):
             self._on_amendment(message)
         elif isinstance(message, KeyLeaseGrant):
             self.plane.key_lease.handle_grant(message.number, message.sequence)
-            self.plane.start_gate.look()
+            self.plane.startup_gate.look()
         elif isinstance(message, ServerLoads):
             if connection is self._hub:
                 self.loads.on_others(message)
--- a/iristrack/dataplane/discovery.py
+++ b/iristrack/dataplane/discovery.py
@@ -71,4 +71,4 @@
                 continue
             with suppress(ListUnavailable, ValueError):  # the last list stands; the next call is soon
                 apply_list(self.plane, fetch_list(self.caller, clock() + CALL_NS))
-                self.plane.start_gate.look()
+                self.plane.startup_gate.look()
--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -10,14 +10,14 @@
     AttemptFailed,
     DeadlinePassed,
     NotBegunInTime,
+    ResponseClass,
     SendForbidden,
-    Verdict,
-    verdict,
+    classify_response,
 )
-from iristrack.dataplane.client_answer import ClientAnswer
-from iristrack.dataplane.clients import ClientConnection, ClientLeft
+from iristrack.dataplane.client_response import ClientResponse
+from iristrack.dataplane.clients import ClientConnection, ClientDisconnected
 from iristrack.dataplane.events import Event, EventSplitter, EventTooLarge
-from iristrack.dataplane.lateness import Lateness
+from iristrack.dataplane.lateness import RequestTiming
 from iristrack.dataplane.older_weights import Begun
 from iristrack.dataplane.prompt_parts import CacheUse, PromptParts
 from iristrack.dataplane.requests import ClientRequest, Rejected, read_request, wait_ms
@@ -49,7 +49,7 @@
         self.plane = plane
         self.client = client
         self.request = request
-        self.answer = ClientAnswer(client, keep, request.version)
+        self.answer = ClientResponse(client, keep, request.version)
         self.tried: list[Server] = []  # servers to which it was sent
         self.failed_at: set[str] = set()
         self.may_have_run = False
@@ -57,7 +57,7 @@
         self.ends_unnamed = False  # did the last piece that was passed on bear no id?
         self.service = self._draw_service()
         self.prompt = PromptParts(plane, request, self.service)
-        self.lateness = Lateness(request.arrived, clock())
+        self.timing = RequestTiming(request.arrived, clock())
         self._loads_canary = False  # was the attempt sent while a new version's servers are kept busy?
         self._unread: int = 0  # pieces that the attempt's server still has to read
 
@@ -76,7 +76,7 @@
         self.plane.budget(self.service).earn()
         try:
             self._run()
-        except ClientLeft:
+        except ClientDisconnected:
             counters.client_left += 1
             self.client.left = True
         except DeadlinePassed:
@@ -91,7 +91,7 @@
                 return
             if self._try(server):
                 self.plane.counters.served += 1
-                self.plane.late.count(self.lateness.reason(self.request.route))
+                self.plane.late.count(self.timing.reason(self.request.route))
                 return
 
     def _next_server(self) -> Server | None:
@@ -162,7 +162,7 @@
         self._loads_canary = plane.rollouts.is_canary_loaded(self.service)
         self._unread = chunks_to_prefill(self.prompt.at(server))
         fetches = cache is not None and cache.fetch_from is not None
-        self.lateness.sent(began, self._unread, server.load, fetches)
+        self.timing.sent(began, self._unread, server.load, fetches)
         server.began(self._unread)
         self.prompt.begin_read(server)
         try:
@@ -178,7 +178,7 @@
             return False
         except SendForbidden:
             return False
-        except (ClientLeft, DeadlinePassed):
+        except (ClientDisconnected, DeadlinePassed):
             if attempt.head is None and clock() - began > SILENT_NS:
                 server.failed(clock())  # it said nothing for so long that the client has given up
                 self.plane.rollouts.failed(server, request.route.label)
@@ -233,19 +233,19 @@
     def _take_answer(self, attempt: Attempt, server: Server, cache: CacheUse | None) -> bool:
         request = self.request
         head = attempt.read_head(request.attempt_id)
-        said = verdict(head)
-        if said is Verdict.NOT_EXECUTED:
+        said = classify_response(head)
+        if said is ResponseClass.NOT_EXECUTED:
             self._drop_rest(attempt)
             self._note_rejection(server, head)
             return False
-        if said is Verdict.UNKNOWN:
+        if said is ResponseClass.UNKNOWN:
             raise AttemptFailed(f"status {head.status} without a promise or a seal", ran=True)
         if request.model is not None and cache is not None:
             self.plane.older_weights.begun(
                 Begun(server.instance_id, request.model, cache.revision, attempt.sent_at, clock())
             )
         self._learn_revision(server, head)
-        if said is Verdict.FAILURE:
+        if said is ResponseClass.FAILURE:
             if head.status >= 500:
                 server.outcomes.failed(clock())
                 self.plane.rollouts.failed(server, request.route.label)
@@ -259,7 +259,7 @@
         else:
             self._pass_whole(attempt)
         server.succeeded(clock())
-        times = self.lateness.times()
+        times = self.timing.times()
         if times is not None:
             self.plane.rollouts.answered(server, request.route.label, times, self._loads_canary)
         attempt.finish()
@@ -299,7 +299,7 @@
                 self._pass_long(attempt, bytes(body), pieces)
                 return
         head = attempt.head
-        self.lateness.passed_on(clock())
+        self.timing.passed_on(clock())
         attempt.finish()
         if self.answer.begun:  # a stream that went on elsewhere and failed there
             self.answer.break_off()
@@ -337,7 +337,7 @@
             if first and not self.answer.begun:
                 self.answer.begin(attempt.head)
             first = False
-            self.lateness.passed_on(clock())
+            self.timing.passed_on(clock())
             self.answer.piece(data)
             self._note_passed_on(passed)
         if splitter.rest:
@@ -362,13 +362,13 @@
 def _wait_for_start(plane: PlaneState, client: ClientConnection, message: http.Message) -> None:
     """Wait for what every request needs; one that cannot be read is judged by what comes next."""
     with suppress(Rejected):
-        plane.start_gate.wait(client, int(wait_ms(message.head.fields) * NS_PER_MS))
+        plane.startup_gate.wait(client, int(wait_ms(message.head.fields) * NS_PER_MS))
 
 
 def answer_request(plane: PlaneState, client: ClientConnection, message: http.Message, arrived: int) -> bool:
     """Answer one request; whether the client's connection goes on."""
     keep = message.head.keeps_alive and not plane.draining and not client.listener.closing
-    if not plane.start_gate.open:
+    if not plane.startup_gate.open:
         _wait_for_start(plane, client, message)
     if plane.active is None:
         client.write(http.response(503, b"no configuration yet\n", b"Retry-After: 0.5\r\n", close=True))
--- a/iristrack/dataplane/lateness.py
+++ b/iristrack/dataplane/lateness.py
@@ -26,7 +26,7 @@
     WAIT = "wait"  # others were before it at the server
 
 
-class Lateness:
+class RequestTiming:
     """The times of one request. All are in nanoseconds of the monotonic clock."""
 
     __slots__ = (
--- a/iristrack/dataplane/start_gate.py
+++ b/iristrack/dataplane/startup_gate.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from iristrack.dataplane.clients import ClientConnection, ClientLeft
+from iristrack.dataplane.clients import ClientConnection, ClientDisconnected
 from iristrack.runtime.scheduler import Scheduler, Task, clock
 
 NS_PER_MS = 1_000_000
@@ -19,7 +19,7 @@
 WAIT_SHARE = 3  # a request waits for at most this part of the time that its client waits
 
 
-class StartGate:
+class StartupGate:
     """Closed until the process can serve for the first time, or its start has lasted too long."""
 
     def __init__(self, scheduler: Scheduler, can_serve: Callable[[], bool]) -> None:
@@ -39,7 +39,7 @@
             task.wake()
 
     def wait(self, client: ClientConnection, client_waits_ns: int) -> None:
-        """Return once the gate is open, or after the time for it; raises `ClientLeft`."""
+        """Return once the gate is open, or after the time for it; raises `ClientDisconnected`."""
         self.look()
         until = min(self._opens_at, clock() + min(MOST_WAIT_NS, client_waits_ns // WAIT_SHARE))
         task = self.scheduler.current
@@ -51,4 +51,4 @@
         finally:
             self._waiting.discard(task)
         if client.left:
-            raise ClientLeft
+            raise ClientDisconnected
--- a/iristrack/dataplane/state.py
+++ b/iristrack/dataplane/state.py
@@ -15,7 +15,7 @@
 from iristrack.configuration.tenants import TenantTable
 from iristrack.dataplane.lateness import LateCounts
 from iristrack.dataplane.older_weights import OlderWeights
-from iristrack.dataplane.start_gate import StartGate
+from iristrack.dataplane.startup_gate import StartupGate
 from iristrack.engines.named_weights import NamedWeights
 from iristrack.net.links import Links
 from iristrack.placement.rollouts import Rollouts
@@ -108,12 +108,12 @@
     key_lease: KeyLease = field(default_factory=lambda: KeyLease(None))
     sidecars: int = SIDECARS_ASSUMED
     draining: bool = False
-    start_gate: StartGate = field(init=False)
+    startup_gate: StartupGate = field(init=False)
     older_weights: OlderWeights = field(init=False)
 
     def __post_init__(self) -> None:
         """Requests wait until there are a configuration, servers and, where one is needed, a lease of keys."""
-        self.start_gate = StartGate(self.scheduler, self._can_serve)
+        self.startup_gate = StartupGate(self.scheduler, self._can_serve)
         self.older_weights = OlderWeights(self.named_weights)
 
     def _can_serve(self) -> bool:
--- a/tests/dataplane/conftest.py
+++ b/tests/dataplane/conftest.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from tests.dataplane.stand import Stand, make_stand
+from tests.dataplane.harness import Harness, make_harness
 
 
 @pytest.fixture
-def stand() -> Iterator[Stand]:
-    stand = make_stand()
-    yield stand
-    stand.listener.stop_accepting()
-    for server in stand.servers.values():
+def harness() -> Iterator[Harness]:
+    harness = make_harness()
+    yield harness
+    harness.listener.stop_accepting()
+    for server in harness.servers.values():
         server.stop()
-    assert not stand.failures, "\n".join(stand.failures)
+    assert not harness.failures, "\n".join(harness.failures)
--- a/tests/dataplane/stand.py
+++ b/tests/dataplane/harness.py
@@ -177,9 +177,9 @@
 class Client:
     """One connection of a client; its methods run in a task."""
 
-    def __init__(self, stand: Stand) -> None:
-        self.scheduler = stand.scheduler
-        self.sock = connect(stand.scheduler, stand.address, clock() + PATIENCE_NS)
+    def __init__(self, harness: Harness) -> None:
+        self.scheduler = harness.scheduler
+        self.sock = connect(harness.scheduler, harness.address, clock() + PATIENCE_NS)
         self.reader = http.Reader(response=True, limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
 
     def send(self, data: bytes) -> None:
@@ -208,7 +208,7 @@
 
 
 @dataclass
-class Stand:
+class Harness:
     """The plane, its listener for clients, and the stand-in servers."""
 
     scheduler: Scheduler
@@ -318,7 +318,7 @@
     } | more
 
 
-def make_stand() -> Stand:
+def make_harness() -> Harness:
     failures: list[str] = []
     scheduler = Scheduler(lambda text: failures.append(f"{text}\n{traceback.format_exc()}"))
     settings = read_settings(
@@ -330,11 +330,11 @@
     listener = ClientListener(
         scheduler, LOOPBACK, lambda client, message, at: answer_request(plane, client, message, at), 50
     )
-    stand = Stand(scheduler, plane, listener, failures)
-    stand.configure(document())
+    harness = Harness(scheduler, plane, listener, failures)
+    harness.configure(document())
     budget = plane.budget("pool")
     budget.tokens = budget.capacity  # as of a process that has been running for a while
-    return stand
+    return harness
 
 
 def asking(prefix: str, attempt_id: str = "a1", lines: bytes = b"", body: bytes = b"") -> bytes:
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -6,12 +6,12 @@
 
 from iristrack.dataplane import clients
 from iristrack.http1 import messages as http
-from tests.dataplane.stand import (
+from tests.dataplane.harness import (
     SEALED,
     Client,
     Conversation,
+    Harness,
     Received,
-    Stand,
     asking,
     event,
     named,
@@ -26,37 +26,37 @@
     conversation.send(named(http.response(200, conversation.id, SEALED), conversation.id))
 
 
-def talk(stand: Stand, *sent: bytes) -> list[Received]:
+def talk(harness: Harness, *sent: bytes) -> list[Received]:
     """What comes back for each of these on one connection."""
 
     def call() -> list[Received]:
-        client = Client(stand)
+        client = Client(harness)
         received = []
         for data in sent:
             client.send(data)
             received.append(client.receive())
         return received
 
-    return stand.run(call)[0]
+    return harness.run(call)[0]
 
 
-def test_a_connection_is_kept_from_request_to_request(stand: Stand) -> None:
-    server = stand.serve(echo)
-    bodies = [r.body for r in talk(stand, *(asking("unsafe", f"a{n}") for n in range(5)))]
+def test_a_connection_is_kept_from_request_to_request(harness: Harness) -> None:
+    server = harness.serve(echo)
+    bodies = [r.body for r in talk(harness, *(asking("unsafe", f"a{n}") for n in range(5)))]
     assert bodies == [b"a0", b"a1", b"a2", b"a3", b"a4"]
     assert server.opened == 1
 
 
 @pytest.mark.parametrize("prefix", ["safe", "stream"])
-def test_a_connection_ends_where_the_client_wants_it(stand: Stand, prefix: str) -> None:
-    stand.serve(stream(1, 2) if prefix == "stream" else echo)
+def test_a_connection_ends_where_the_client_wants_it(harness: Harness, prefix: str) -> None:
+    harness.serve(stream(1, 2) if prefix == "stream" else echo)
 
     def call() -> tuple[Received, Received]:
-        client = Client(stand)
+        client = Client(harness)
         client.send(asking(prefix, lines=b"Connection: close\r\n"))
         return client.receive(), client.receive()
 
-    ((answer, rest),) = stand.run(call)
+    ((answer, rest),) = harness.run(call)
     assert answer.header(b"connection") == b"close"
     assert (answer.status, rest.end, rest.raw) == (200, "closed", b"")
 
@@ -66,35 +66,35 @@
     return asking(prefix, lines=b"Connection: keep-alive\r\n").replace(b" HTTP/1.1\r\n", b" HTTP/1.0\r\n")
 
 
-def ask_and_read_to_the_end(stand: Stand, request: bytes) -> Received:
+def ask_and_read_to_the_end(harness: Harness, request: bytes) -> Received:
     def call() -> Received:
-        client = Client(stand)
+        client = Client(harness)
         client.send(request)
         return client.receive()
 
-    return stand.run(call)[0]
+    return harness.run(call)[0]
 
 
 @pytest.mark.parametrize("prefix", ["safe", "stream"])
 def test_a_client_that_knows_no_chunks_gets_none_and_the_end_of_the_connection(
-    stand: Stand, prefix: str
+    harness: Harness, prefix: str
 ) -> None:
-    stand.serve(stream(1, 2) if prefix == "stream" else echo)
-    answer = ask_and_read_to_the_end(stand, older(prefix))
+    harness.serve(stream(1, 2) if prefix == "stream" else echo)
+    answer = ask_and_read_to_the_end(harness, older(prefix))
     assert answer.raw.startswith(b"HTTP/1.1 200 OK\r\n")
     assert b"chunked" not in answer.raw and b"Connection: close\r\n" in answer.raw
     assert answer.raw.endswith(b"\r\n\r\n" + (event(1) + event(2) if prefix == "stream" else b"a1"))
 
 
-def test_a_stream_without_chunks_that_breaks_off_is_reset(stand: Stand) -> None:
-    stand.serve(lambda conversation: (conversation.send(stream(1, 3)[:-30]), conversation.reset()))
-    answer = ask_and_read_to_the_end(stand, older("stream"))
+def test_a_stream_without_chunks_that_breaks_off_is_reset(harness: Harness) -> None:
+    harness.serve(lambda conversation: (conversation.send(stream(1, 3)[:-30]), conversation.reset()))
+    answer = ask_and_read_to_the_end(harness, older("stream"))
     assert (answer.end, answer.complete) == ("reset", False)
 
 
-def test_a_rejected_request_leaves_the_connection_as_it_is(stand: Stand) -> None:
-    stand.serve(echo)
-    answers = talk(stand, asking("nowhere"), asking("safe", "a2"))
+def test_a_rejected_request_leaves_the_connection_as_it_is(harness: Harness) -> None:
+    harness.serve(echo)
+    answers = talk(harness, asking("nowhere"), asking("safe", "a2"))
     assert [answer.status for answer in answers] == [404, 200]
 
 
@@ -115,25 +115,25 @@
         (asking("safe").removesuffix(b"\r\n") + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
     ],
 )
-def test_bytes_that_are_no_request_are_answered_and_the_connection_ends(stand, data, status) -> None:
-    server = stand.serve(echo)
+def test_bytes_that_are_no_request_are_answered_and_the_connection_ends(harness, data, status) -> None:
+    server = harness.serve(echo)
 
     def call() -> tuple[Received, Received]:
-        client = Client(stand)
+        client = Client(harness)
         client.send(data + asking("safe", "smuggled"))
         return client.receive(), client.receive()
 
-    ((answer, rest),) = stand.run(call)
+    ((answer, rest),) = harness.run(call)
     assert (answer.status, answer.header(b"connection")) == (status, b"close")
     assert (rest.raw, rest.message) == (b"", None)
     assert server.requests == []
 
 
-def test_a_body_is_waited_for_where_the_client_asks_first(stand: Stand) -> None:
-    server = stand.serve(echo)
+def test_a_body_is_waited_for_where_the_client_asks_first(harness: Harness) -> None:
+    server = harness.serve(echo)
 
     def call() -> Received:
-        client = Client(stand)
+        client = Client(harness)
         client.send(
             asking("unsafe", lines=b"Expect: 100-continue\r\n").removesuffix(b"\r\n")
             + b"Content-Length: 4\r\n\r\n"
@@ -143,62 +143,62 @@
         client.send(b"body")
         return client.receive()
 
-    assert stand.run(call)[0].status == 200
+    assert harness.run(call)[0].status == 200
     assert server.requests[0].body == b"body"
     assert server.header(b"expect") is None
 
 
 @pytest.mark.parametrize("data", [b"GET /sa", asking("safe")[:-2]])
-def test_half_a_head_is_answered_when_its_time_is_over(stand: Stand, data: bytes) -> None:
-    stand.listener.header_ns = 20 * NS_PER_MS
-    (answer,) = talk(stand, data)
+def test_half_a_head_is_answered_when_its_time_is_over(harness: Harness, data: bytes) -> None:
+    harness.listener.header_ns = 20 * NS_PER_MS
+    (answer,) = talk(harness, data)
     assert (answer.status, answer.header(b"connection")) == (408, b"close")
 
 
-def test_half_a_body_is_answered_when_its_time_is_over(stand: Stand, monkeypatch) -> None:
+def test_half_a_body_is_answered_when_its_time_is_over(harness: Harness, monkeypatch) -> None:
     monkeypatch.setattr(clients, "BODY_PAUSE_NS", 20 * NS_PER_MS)
-    (answer,) = talk(stand, asking("unsafe", body=b"body")[:-2])
+    (answer,) = talk(harness, asking("unsafe", body=b"body")[:-2])
     assert answer.status == 408
 
 
-def test_an_idle_connection_ends_without_a_word(stand: Stand) -> None:
-    stand.serve(echo)
-    stand.listener.idle_ns = 20 * NS_PER_MS
-    answer, rest = talk(stand, asking("safe"), b"")
+def test_an_idle_connection_ends_without_a_word(harness: Harness) -> None:
+    harness.serve(echo)
+    harness.listener.idle_ns = 20 * NS_PER_MS
+    answer, rest = talk(harness, asking("safe"), b"")
     assert answer.status == 200
     assert (rest.raw, rest.end) == (b"", "closed")
 
 
-def test_connections_are_bounded_and_the_next_one_waits_for_a_place(stand: Stand) -> None:
-    stand.serve(echo)
-    stand.listener.most = 2
+def test_connections_are_bounded_and_the_next_one_waits_for_a_place(harness: Harness) -> None:
+    harness.serve(echo)
+    harness.listener.most = 2
     order = []
 
     def holder() -> None:
-        client = Client(stand)
+        client = Client(harness)
         client.send(asking("safe", "held"))
         client.receive()
         while not order:
-            yield_turn(stand.scheduler)
+            yield_turn(harness.scheduler)
         client.leave()
 
     def waiter() -> Received:
-        while len(stand.listener.connections) < 2:
-            yield_turn(stand.scheduler)
-        client = Client(stand)
+        while len(harness.listener.connections) < 2:
+            yield_turn(harness.scheduler)
+        client = Client(harness)
         client.send(asking("safe", "waited"))
-        begun = stand.scheduler.turns
-        while stand.scheduler.turns < begun + 50:
-            yield_turn(stand.scheduler)
-            assert len(stand.listener.connections) == 2
+        begun = harness.scheduler.turns
+        while harness.scheduler.turns < begun + 50:
+            yield_turn(harness.scheduler)
+            assert len(harness.listener.connections) == 2
         order.append("released")
         return client.receive()
 
-    _, _, answer = stand.run(holder, holder, waiter)
+    _, _, answer = harness.run(holder, holder, waiter)
     assert answer.body == b"waited"
 
 
-def test_ending_lets_answers_under_way_come_whole_and_ends_idle_connections(stand: Stand) -> None:
+def test_ending_lets_answers_under_way_come_whole_and_ends_idle_connections(harness: Harness) -> None:
     going = []
 
     def answer(conversation: Conversation) -> None:
@@ -207,34 +207,34 @@
             yield_turn(conversation.server.scheduler)
         conversation.send(http.chunk(event(2)) + http.LAST_CHUNK)
 
-    stand.serve(echo, answer)
+    harness.serve(echo, answer)
     ended = []
-    stand.listener.on_empty = lambda: ended.append(True)
+    harness.listener.on_empty = lambda: ended.append(True)
 
     def call() -> tuple[Received, Received, Received]:
-        idle, busy = Client(stand), Client(stand)
+        idle, busy = Client(harness), Client(harness)
         idle.send(asking("safe", "a1"))
         idle.receive()
         busy.send(asking("stream", "a2"))
         begun = busy.receive(until=event(1))
-        stand.listener.stop_accepting()
-        stand.listener.end_idle()
+        harness.listener.stop_accepting()
+        harness.listener.end_idle()
         idle_end = idle.receive()
         assert not ended
         going.append(True)
         rest = busy.receive()
         return idle_end, begun, rest
 
-    ((idle_end, begun, rest),) = stand.run(call)
+    ((idle_end, begun, rest),) = harness.run(call)
     assert (idle_end.raw, idle_end.end) == (b"", "closed")
     assert not begun.complete
     assert (rest.complete, rest.end) == (True, "open")
-    stand.turn_until(lambda: ended)
-    assert not stand.listener.connections
+    harness.turn_until(lambda: ended)
+    assert not harness.listener.connections
 
 
-def test_a_draining_plane_says_that_the_connection_ends(stand: Stand) -> None:
-    stand.serve(echo)
-    stand.plane.draining = True
-    (answer,) = talk(stand, asking("safe"))
+def test_a_draining_plane_says_that_the_connection_ends(harness: Harness) -> None:
+    harness.serve(echo)
+    harness.plane.draining = True
+    (answer,) = talk(harness, asking("safe"))
     assert (answer.status, answer.header(b"connection")) == (200, b"close")
--- a/tests/dataplane/test_connection_machine.py
+++ b/tests/dataplane/test_connection_machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from iristrack.http1 import messages as http
-from tests.dataplane.stand import NOT_EXECUTED, SEALED, Client, Conversation, Received, asking, make_stand
+from tests.dataplane.harness import NOT_EXECUTED, SEALED, Client, Conversation, Received, asking, make_harness
 
 SERVERS = 3
 STRANGER = b"for somebody else"
@@ -98,10 +98,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.stand = make_stand()
+        self.harness = make_harness()
         self.servers = ModelServers()
         for _ in range(SERVERS):
-            self.stand.serve(self.servers.answer)
+            self.harness.serve(self.servers.answer)
         self.asked = 0
         self.unsafe: set[bytes] = set()
         self.kept: Client | None = None
@@ -121,19 +121,19 @@
 
     def _exchange(self, request: bytes, keep: bool) -> Received:
         def call() -> Received:
-            client = (self.kept if keep else None) or Client(self.stand)
+            client = (self.kept if keep else None) or Client(self.harness)
             client.send(request)
             received = client.receive()
             self.kept = client if keep and received.end == "open" else None
             return received
 
-        (received,) = self.stand.run(call)
+        (received,) = self.harness.run(call)
         return received
 
     @rule()
     def forgive(self) -> None:
         """Time passes: servers that failed are asked again."""
-        for server in self.stand.plane.servers.servers.values():
+        for server in self.harness.plane.servers.servers.values():
             server.avoid_until = 0
 
     @invariant()
@@ -141,10 +141,10 @@
         assert all(self.servers.runs[attempt_id] <= 1 for attempt_id in self.unsafe)
 
     def teardown(self) -> None:
-        self.stand.listener.stop_accepting()
-        for server in self.stand.servers.values():
+        self.harness.listener.stop_accepting()
+        for server in self.harness.servers.values():
             server.stop()
-        assert not self.stand.failures, "\n".join(self.stand.failures)
+        assert not self.harness.failures, "\n".join(self.harness.failures)
 
 
 TestConnections = Connections.TestCase
--- a/tests/dataplane/test_control_link.py
+++ b/tests/dataplane/test_control_link.py
@@ -35,15 +35,15 @@
 from iristrack.wire.values import encode_value
 from tests.controlplane.calls import Log
 from tests.controlplane.peers import Peer
-from tests.dataplane.stand import MODEL, Stand, document
+from tests.dataplane.harness import MODEL, Harness, document
 
 MS = 1_000_000
 
 
 class Linked:
-    def __init__(self, stand: Stand) -> None:
-        self.plane = stand.plane
-        self.link = ControlLink(stand.plane, ServerListFollower(stand.plane), Log())
+    def __init__(self, harness: Harness) -> None:
+        self.plane = harness.plane
+        self.link = ControlLink(harness.plane, ServerListFollower(harness.plane), Log())
         self.core = Peer()
 
     def update(self, topic: str, sequence: int, value) -> None:
@@ -58,8 +58,8 @@
 
 
 @pytest.fixture
-def linked(stand: Stand) -> Linked:
-    return Linked(stand)
+def linked(harness: Harness) -> Linked:
+    return Linked(harness)
 
 
 def meet(linked: Linked, zone: str) -> Peer:
@@ -123,9 +123,11 @@
     assert plane.required_revision("m", clock()) == 3
 
 
-def test_servers_that_take_weights_are_left_alone_until_told_otherwise(stand: Stand, linked: Linked) -> None:
-    stand.serve(b""), stand.serve(b"")
-    first, second = stand.known("i-0"), stand.known("i-1")
+def test_servers_that_take_weights_are_left_alone_until_told_otherwise(
+    harness: Harness, linked: Linked
+) -> None:
+    harness.serve(b""), harness.serve(b"")
+    first, second = harness.known("i-0"), harness.known("i-1")
     linked.busy(1, "i-0", preparing=("i-1",))
     assert not first.usable(clock())
     assert second.usable(clock())
@@ -139,9 +141,9 @@
     assert first.usable(clock())
 
 
-def test_the_list_that_the_core_hands_on_is_followed(stand: Stand, linked: Linked) -> None:
-    stand.serve(b""), stand.serve(b"")
-    linked.update(topics.SERVERS, 1, to_message(stand.entries[1:]))
+def test_the_list_that_the_core_hands_on_is_followed(harness: Harness, linked: Linked) -> None:
+    harness.serve(b""), harness.serve(b"")
+    linked.update(topics.SERVERS, 1, to_message(harness.entries[1:]))
     assert [s.instance_id for s in linked.plane.servers.of_service("pool")] == ["i-1"]
 
 
@@ -174,25 +176,25 @@
 # ---- loads
 
 
-def test_what_is_under_way_is_told_when_it_changes(stand: Stand, linked: Linked, monkeypatch) -> None:
+def test_what_is_under_way_is_told_when_it_changes(harness: Harness, linked: Linked, monkeypatch) -> None:
     monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: MS)
     hub = meet(linked, "zone")
     hub.take()
-    stand.serve(b"")
-    server = stand.known("i-0")
+    harness.serve(b"")
+    server = harness.known("i-0")
     server.began(3)
-    stand.turn_until(lambda: hub.sent)
+    harness.turn_until(lambda: hub.sent)
     assert hub.take() == [ServerLoads("n", 1, (ServerLoad("i-0", 1, 3),))]
     server.prefill_finished(3)
     server.ended()
-    stand.turn_until(lambda: hub.sent)
+    harness.turn_until(lambda: hub.sent)
     assert hub.take() == [ServerLoads("n", 2, (ServerLoad("i-0", 0, 0),), partial=True)]
 
 
-def test_what_others_have_under_way_lapses_when_the_core_falls_silent(stand, linked, monkeypatch) -> None:
+def test_what_others_have_under_way_lapses_when_the_core_falls_silent(harness, linked, monkeypatch) -> None:
     monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: MS)
-    stand.serve(b"")
-    server = stand.known("i-0")
+    harness.serve(b"")
+    server = harness.known("i-0")
     hub = meet(linked, "zone")
     linked.link._on_message(hub, ServerLoads("core", 1, (ServerLoad("i-0", 4, 7),)))
     assert (server.others_inflight, server.others_pending_chunks) == (4, 7)
@@ -200,17 +202,17 @@
     assert server.load == 0
     linked.link._on_message(hub, ServerLoads("core", 3, (ServerLoad("i-0", 4, 7),)))
     monkeypatch.setattr(load_reports, "EXPIRY_NS", 5 * MS)
-    stand.turn_until(lambda: server.load == 0)
+    harness.turn_until(lambda: server.load == 0)
 
 
-def test_the_own_share_is_taken_off_the_sum_that_the_hub_tells(stand, linked, monkeypatch) -> None:
+def test_the_own_share_is_taken_off_the_sum_that_the_hub_tells(harness, linked, monkeypatch) -> None:
     monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: MS)
     hub = meet(linked, "zone")
     hub.take()
-    stand.serve(b""), stand.serve(b"")
-    first, second = stand.known("i-0"), stand.known("i-1")
+    harness.serve(b""), harness.serve(b"")
+    first, second = harness.known("i-0"), harness.known("i-1")
     first.began(3)
-    stand.turn_until(lambda: hub.sent)
+    harness.turn_until(lambda: hub.sent)
     total = (ServerLoad("i-0", 5, 7, answered=2, failed=1), ServerLoad("i-1", 1, 1))
     linked.link._on_message(hub, ServerLoads("core", 1, total))
     assert (first.others_inflight, first.others_pending_chunks) == (4, 4)
@@ -220,12 +222,12 @@
     assert (first.others_inflight, second.others_inflight) == (4, 0)
 
 
-def test_only_the_hub_is_believed(stand, linked) -> None:
-    stand.serve(b"")
+def test_only_the_hub_is_believed(harness, linked) -> None:
+    harness.serve(b"")
     stranger = meet(linked, "elsewhere")
     meet(linked, "zone")
     linked.link._on_message(stranger, ServerLoads("core", 1, (ServerLoad("i-0", 4, 7),)))
-    assert stand.known("i-0").load == 0
+    assert harness.known("i-0").load == 0
 
 
 # ---- amendments and the lease of keys
@@ -265,28 +267,28 @@
     assert linked.plane.active.configuration.revision == 20
 
 
-def leased(stand: Stand) -> Linked:
-    bounds = replace(stand.plane.settings.rule_bounds, revoke_global=True, revoke_ms=5_000)
-    stand.plane.settings = replace(stand.plane.settings, rule_bounds=bounds)
-    return Linked(stand)
+def leased(harness: Harness) -> Linked:
+    bounds = replace(harness.plane.settings.rule_bounds, revoke_global=True, revoke_ms=5_000)
+    harness.plane.settings = replace(harness.plane.settings, rule_bounds=bounds)
+    return Linked(harness)
 
 
 def lease_requests(peer: Peer) -> list[KeyLeaseRequest]:
     return [message for message in peer.take() if isinstance(message, KeyLeaseRequest)]
 
 
-def test_the_lease_of_keys_is_asked_of_the_hub_and_then_of_all(stand: Stand) -> None:
-    linked = leased(stand)
-    first, second = meet(linked, stand.plane.settings.zone), meet(linked, "elsewhere")
+def test_the_lease_of_keys_is_asked_of_the_hub_and_then_of_all(harness: Harness) -> None:
+    linked = leased(harness)
+    first, second = meet(linked, harness.plane.settings.zone), meet(linked, "elsewhere")
     (request,) = lease_requests(first)
     assert lease_requests(second) == []
     linked.link._ask_for_key_lease()
     assert lease_requests(first)
     assert lease_requests(second)
-    assert not stand.plane.key_lease.is_valid(clock())
+    assert not harness.plane.key_lease.is_valid(clock())
     linked.configure(7, 70)
     linked.link._on_message(first, KeyLeaseGrant(request.number, 7))
-    assert stand.plane.key_lease.is_valid(clock())
+    assert harness.plane.key_lease.is_valid(clock())
 
 
 def test_no_lease_is_asked_for_where_none_is_needed(linked: Linked) -> None:
--- a/tests/dataplane/test_early_answers.py
+++ b/tests/dataplane/test_early_responses.py
@@ -9,7 +9,7 @@
 
 from iristrack.http1 import messages as http
 from iristrack.runtime.scheduler import READ, WRITE, send_all
-from tests.dataplane.stand import SEALED, Client, Stand, StandInServer, asking, named, yield_turn
+from tests.dataplane.harness import SEALED, Client, Harness, StandInServer, asking, named, yield_turn
 
 SOUND = http.response(200, b"sound", SEALED)
 BODY = bytes(range(256)) * 40_000  # 10 MB: far more than the kernel holds for a connection
@@ -64,19 +64,19 @@
         return data
 
 
-def add(stand: Stand, reads_on: bool) -> StandInServer:
-    stand.listener.most_body = len(BODY)
-    return stand.add(EarlyServer(stand.scheduler, reads_on))
+def add(harness: Harness, reads_on: bool) -> StandInServer:
+    harness.listener.most_body = len(BODY)
+    return harness.add(EarlyServer(harness.scheduler, reads_on))
 
 
 @pytest.mark.parametrize("prefix", ["safe", "unsafe"])
 def test_the_rest_of_a_body_follows_an_early_answer_and_then_the_next_request(
-    stand: Stand, prefix: str
+    harness: Harness, prefix: str
 ) -> None:
-    server = add(stand, reads_on=True)
+    server = add(harness, reads_on=True)
 
     def call() -> list[int | None]:
-        client = Client(stand)
+        client = Client(harness)
         statuses = []
         for number in range(3):
             client.send(asking(prefix, f"a{number}", body=BODY))
@@ -84,15 +84,15 @@
         client.leave()
         return statuses
 
-    assert stand.run(call) == [[200, 200, 200]]
-    stand.turn_until(lambda: len(server.bodies) == 3)
+    assert harness.run(call) == [[200, 200, 200]]
+    harness.turn_until(lambda: len(server.bodies) == 3)
     assert server.bodies == [BODY, BODY, BODY]
     assert max(server.read_before) < len(BODY)
 
 
-def test_an_early_answer_on_a_connection_that_ends_is_no_reason_to_run_it_twice(stand: Stand) -> None:
-    server = add(stand, reads_on=False)
-    other = stand.serve(SOUND)
-    answer = stand.ask(asking("unsafe", body=BODY))
+def test_an_early_answer_on_a_connection_that_ends_is_no_reason_to_run_it_twice(harness: Harness) -> None:
+    server = add(harness, reads_on=False)
+    other = harness.serve(SOUND)
+    answer = harness.ask(asking("unsafe", body=BODY))
     assert answer.status in (200, 502)
     assert (len(server.read_before), len(other.requests)) == (1, 0)
--- a/tests/dataplane/test_event_loop_sharing.py
+++ b/tests/dataplane/test_event_loop_sharing.py
@@ -14,7 +14,7 @@
 from iristrack.dataplane.events import EventSplitter
 from iristrack.http1.connection import Link
 from iristrack.runtime.scheduler import Scheduler, clock
-from tests.dataplane.stand import PATIENCE_NS, yield_turn
+from tests.dataplane.harness import PATIENCE_NS, yield_turn
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Iristrack-Server-Seal: s1\r\n\r\n"
 PIECE = b"data: no end\n"
--- a/tests/dataplane/test_key_lease.py
+++ b/tests/dataplane/test_key_lease.py
@@ -7,7 +7,7 @@
 from iristrack.configuration.key_lease import KeyLease
 from iristrack.http1 import messages as http
 from iristrack.runtime.scheduler import clock
-from tests.dataplane.stand import SEALED, Conversation, Stand, document
+from tests.dataplane.harness import SEALED, Conversation, Harness, document
 
 KEYED = [{"label": "north", "api_keys": ["k-north"]}]
 S = 1_000_000_000
@@ -21,21 +21,21 @@
 
 
 @pytest.fixture
-def keyed(stand: Stand) -> Stand:
-    stand.configure(document(tenants=KEYED))
-    stand.plane.key_lease = KeyLease(60_000)
-    stand.plane.key_lease.set_applied_sequence(1)
-    return stand
+def keyed(harness: Harness) -> Harness:
+    harness.configure(document(tenants=KEYED))
+    harness.plane.key_lease = KeyLease(60_000)
+    harness.plane.key_lease.set_applied_sequence(1)
+    return harness
 
 
-def grant(stand: Stand, age_ns: int = 0) -> None:
-    lease = stand.plane.key_lease
+def grant(harness: Harness, age_ns: int = 0) -> None:
+    lease = harness.plane.key_lease
     lease.handle_grant(lease.record_request(clock() - age_ns), 1)
 
 
 @pytest.mark.parametrize("key", ["k-north", "unknown", None])
 def test_without_a_lease_no_key_is_judged_and_the_client_is_told_when_to_come_back(
-    keyed: Stand, key: str | None
+    keyed: Harness, key: str | None
 ) -> None:
     server = keyed.serve(http.response(200, b"answer", SEALED))
     received = keyed.ask(asking("safe", key))
@@ -44,26 +44,26 @@
     assert server.requests == []
 
 
-def test_public_routes_go_on_without_a_lease(keyed: Stand) -> None:
+def test_public_routes_go_on_without_a_lease(keyed: Harness) -> None:
     keyed.serve(http.response(200, b"answer", SEALED))
     assert keyed.ask(asking("public", None)).status == 200
 
 
-def test_with_a_lease_keys_are_judged(keyed: Stand) -> None:
+def test_with_a_lease_keys_are_judged(keyed: Harness) -> None:
     keyed.serve(http.response(200, b"answer", SEALED))
     grant(keyed)
     assert keyed.ask(asking("safe")).status == 200
     assert keyed.ask(asking("safe", "unknown")).status == 401
 
 
-def test_a_lease_that_ended_while_the_process_stood_still_is_no_lease(keyed: Stand) -> None:
+def test_a_lease_that_ended_while_the_process_stood_still_is_no_lease(keyed: Harness) -> None:
     server = keyed.serve(http.response(200, b"answer", SEALED))
     grant(keyed, age_ns=60 * S)
     assert keyed.ask(asking("safe")).status == 503
     assert server.requests == []
 
 
-def test_it_is_looked_at_again_before_the_request_goes_to_a_further_server(keyed: Stand) -> None:
+def test_it_is_looked_at_again_before_the_request_goes_to_a_further_server(keyed: Harness) -> None:
     def lapse(conversation: Conversation) -> None:
         keyed.plane.key_lease = KeyLease(60_000)
         conversation.close()  # it may have run; the request is safe, and would be sent again
@@ -76,7 +76,7 @@
     assert second.requests == []
 
 
-def test_it_is_looked_at_once_the_connection_stands(keyed: Stand) -> None:
+def test_it_is_looked_at_once_the_connection_stands(keyed: Harness) -> None:
     """The wait for a connection takes time, at the end of which the lease may be over."""
     server = keyed.serve(http.response(200, b"answer", SEALED))
     grant(keyed)
--- a/tests/dataplane/test_lateness.py
+++ b/tests/dataplane/test_late_reasons.py
@@ -7,8 +7,8 @@
 import pytest
 
 from iristrack.configuration.document import parse_configuration
-from iristrack.dataplane.lateness import LateCounts, Lateness, LateReason
-from tests.dataplane.stand import document, route
+from iristrack.dataplane.lateness import LateCounts, LateReason, RequestTiming
+from tests.dataplane.harness import document, route
 
 MS = 1_000_000
 ROUTE = parse_configuration(
@@ -18,9 +18,9 @@
 ).routes[0]
 
 
-def lateness(began=0, sent=1, own=0, others=0, fetches=False, words=(100,)) -> Lateness:
+def lateness(began=0, sent=1, own=0, others=0, fetches=False, words=(100,)) -> RequestTiming:
     """Times in ms from the arrival."""
-    told = Lateness(0, began * MS)
+    told = RequestTiming(0, began * MS)
     told.sent(sent * MS, own, others, fetches)
     for word in words:
         told.passed_on(word * MS)
@@ -41,7 +41,7 @@
         (lateness(words=(600,)), LateReason.WAIT),
     ],
 )
-def test_the_reason_is_what_took_the_time(told: Lateness, reason: LateReason | None) -> None:
+def test_the_reason_is_what_took_the_time(told: RequestTiming, reason: LateReason | None) -> None:
     assert told.reason(ROUTE) is reason
 
 
--- a/tests/dataplane/test_older_weights.py
+++ b/tests/dataplane/test_older_weights.py
@@ -10,7 +10,7 @@
 from iristrack.dataplane.state import BEGIN_SHARE, SEND_SHARE
 from iristrack.engines.named_weights import NamedWeights
 from iristrack.runtime.scheduler import clock
-from tests.dataplane.stand import MODEL, Conversation, Stand, asking, stream
+from tests.dataplane.harness import MODEL, Conversation, Harness, asking, stream
 
 PROMPT = b"X-Iristrack-Model: %b\r\n" % MODEL.encode()
 
@@ -41,90 +41,90 @@
     assert older.figures()["older_weights_most_sent_ms"] == 60
 
 
-def test_a_request_at_a_server_on_older_weights_is_counted_as_it_begins(stand: Stand) -> None:
-    stand.serve(stream(1, 2), revision=1)
-    assert stand.ask(asking("stream", lines=PROMPT)).status == 200
-    stand.plane.named_weights.learn(MODEL, 2, clock())
-    assert stand.ask(asking("stream", lines=PROMPT)).status == 200
-    assert stand.plane.older_weights.begun_count == 1
+def test_a_request_at_a_server_on_older_weights_is_counted_as_it_begins(harness: Harness) -> None:
+    harness.serve(stream(1, 2), revision=1)
+    assert harness.ask(asking("stream", lines=PROMPT)).status == 200
+    harness.plane.named_weights.learn(MODEL, 2, clock())
+    assert harness.ask(asking("stream", lines=PROMPT)).status == 200
+    assert harness.plane.older_weights.begun_count == 1
 
 
-def bound(stand: Stand, version_ms: float) -> None:
+def bound(harness: Harness, version_ms: float) -> None:
     """Let nothing begin on older weights so long after newer ones were named."""
-    bounds = replace(stand.plane.settings.rule_bounds, version_ms=version_ms)
-    stand.plane.settings = replace(stand.plane.settings, rule_bounds=bounds)
+    bounds = replace(harness.plane.settings.rule_bounds, version_ms=version_ms)
+    harness.plane.settings = replace(harness.plane.settings, rule_bounds=bounds)
 
 
-def name_revision(stand: Stand, revision: int, ms_ago: float) -> None:
-    stand.plane.named_weights.learn(MODEL, revision, clock() - int(ms_ago * NS_PER_MS))
+def name_revision(harness: Harness, revision: int, ms_ago: float) -> None:
+    harness.plane.named_weights.learn(MODEL, revision, clock() - int(ms_ago * NS_PER_MS))
 
 
-def test_each_revision_has_an_allowance_of_its_own(stand: Stand) -> None:
-    bound(stand, 60_000)
+def test_each_revision_has_an_allowance_of_its_own(harness: Harness) -> None:
+    bound(harness, 60_000)
     now = clock()
     allowed_ms = 60_000 * SEND_SHARE
-    name_revision(stand, 2, allowed_ms + 1)
-    name_revision(stand, 3, 0)
-    assert stand.plane.required_revision(MODEL, now) == 2
-    assert stand.plane.required_revision(MODEL, now + int(allowed_ms + 1) * NS_PER_MS) == 3
+    name_revision(harness, 2, allowed_ms + 1)
+    name_revision(harness, 3, 0)
+    assert harness.plane.required_revision(MODEL, now) == 2
+    assert harness.plane.required_revision(MODEL, now + int(allowed_ms + 1) * NS_PER_MS) == 3
 
 
 @pytest.mark.parametrize(("prefix", "status"), [("resumable", 200), ("stream", 502)])
 def test_a_request_that_waits_at_a_server_on_older_weights_is_taken_back(
-    stand: Stand, prefix: str, status: int
+    harness: Harness, prefix: str, status: int
 ) -> None:
     """One that may run once is not sent again: the server may have begun it as its connection was closed."""
-    slow = stand.serve(Conversation.wait_for_end, revision=1)
-    current = stand.serve(stream(1, 2), revision=2)
-    bound(stand, 2_000)
-    name_revision(stand, 2, 1_400)
+    slow = harness.serve(Conversation.wait_for_end, revision=1)
+    current = harness.serve(stream(1, 2), revision=2)
+    bound(harness, 2_000)
+    name_revision(harness, 2, 1_400)
     began = clock()
-    assert stand.ask(asking(prefix, lines=PROMPT)).status == status
+    assert harness.ask(asking(prefix, lines=PROMPT)).status == status
     assert clock() - began < (2_000 * BEGIN_SHARE - 1_400 + 1_000) * NS_PER_MS
     assert len(slow.requests) == 1
     assert len(current.requests) == (1 if status == 200 else 0)
-    stand.turn_until(lambda: slow.ended == 1)
-    assert stand.known("i-0").failures == 0  # it is slow, not gone
+    harness.turn_until(lambda: slow.ended == 1)
+    assert harness.known("i-0").failures == 0  # it is slow, not gone
 
 
-def test_a_request_that_waits_as_a_revision_is_named_is_taken_back_as_well(stand: Stand) -> None:
-    bound(stand, 1_500)
+def test_a_request_that_waits_as_a_revision_is_named_is_taken_back_as_well(harness: Harness) -> None:
+    bound(harness, 1_500)
 
     def wait_as_it_is_named(conversation: Conversation) -> None:
-        name_revision(stand, 2, 0)
+        name_revision(harness, 2, 0)
         conversation.wait_for_end()
 
-    slow = stand.serve(wait_as_it_is_named, revision=1)
-    stand.serve(stream(1, 2), revision=2)
-    assert stand.ask(asking("resumable", lines=PROMPT)).status == 200
+    slow = harness.serve(wait_as_it_is_named, revision=1)
+    harness.serve(stream(1, 2), revision=2)
+    assert harness.ask(asking("resumable", lines=PROMPT)).status == 200
     assert len(slow.requests) == 1
 
 
-def test_an_answer_that_has_begun_in_time_goes_on(stand: Stand) -> None:
-    bound(stand, 1_500)
+def test_an_answer_that_has_begun_in_time_goes_on(harness: Harness) -> None:
+    bound(harness, 1_500)
 
     def go_on_after_the_bound(conversation: Conversation) -> None:
         whole = stream(1, 40)
         conversation.send(whole[:400])
-        name_revision(stand, 2, 10_000)
+        name_revision(harness, 2, 10_000)
         conversation.dribble(whole[400:])
 
-    slow = stand.serve(go_on_after_the_bound, revision=1)
-    assert stand.ask(asking("stream", lines=PROMPT)).status == 200
+    slow = harness.serve(go_on_after_the_bound, revision=1)
+    assert harness.ask(asking("stream", lines=PROMPT)).status == 200
     assert len(slow.requests) == 1
 
 
-def test_the_weights_are_looked_at_once_the_connection_stands(stand: Stand) -> None:
+def test_the_weights_are_looked_at_once_the_connection_stands(harness: Harness) -> None:
     """The wait for a connection takes time, at the end of which the allowance may be over."""
-    older = stand.serve(stream(1, 2), revision=1)
-    current = stand.serve(stream(1, 2), revision=2)
-    take = stand.plane.links.take
+    older = harness.serve(stream(1, 2), revision=1)
+    current = harness.serve(stream(1, 2), revision=2)
+    take = harness.plane.links.take
 
     def take_late(*arguments: object):
         link = take(*arguments)
-        name_revision(stand, 2, 10_000)
+        name_revision(harness, 2, 10_000)
         return link
 
-    stand.plane.links.take = take_late
-    assert stand.ask(asking("stream", lines=PROMPT)).status == 200
+    harness.plane.links.take = take_late
+    assert harness.ask(asking("stream", lines=PROMPT)).status == 200
     assert (len(older.requests), len(current.requests)) == (0, 1)
--- a/tests/dataplane/test_request_lines.py
+++ b/tests/dataplane/test_request_headers.py
@@ -9,12 +9,12 @@
 from iristrack.placement.engines import cache_salt
 from iristrack.prefix_index.kv_events import KeptPart, ListAnswer
 from iristrack.runtime.scheduler import clock
-from tests.dataplane.stand import (
+from tests.dataplane.harness import (
     MODEL,
     NOT_EXECUTED,
     SEALED,
     Conversation,
-    Stand,
+    Harness,
     asking,
     document,
     yield_turn,
@@ -40,19 +40,19 @@
     return cache_salt(MODEL, revision, isolated_tenant).encode()
 
 
-def keep(stand: Stand, holder: str, salt: str, *parts: tuple[str, int]) -> None:
+def keep(harness: Harness, holder: str, salt: str, *parts: tuple[str, int]) -> None:
     owned = tuple(KeptPart(salt, part_id, tokens, MODEL) for part_id, tokens in parts)
-    stand.plane.index.apply_list(holder, ListAnswer(1, 1, owned), 1)
+    harness.plane.index.apply_list(holder, ListAnswer(1, 1, owned), 1)
 
 
-def test_method_path_body_and_other_lines_are_unaltered(stand: Stand) -> None:
-    server = stand.serve(SOUND)
+def test_method_path_body_and_other_lines_are_unaltered(harness: Harness) -> None:
+    server = harness.serve(SOUND)
     lines = b"X-Odd:  a  b \r\nX-odd: twice\r\nAccept: */*\r\n"
     request = http.request(
         b"PATCH", b"/unsafe/a%20b?q=1&q=%2F", b"Host: H.example:80\r\nX-Iristrack-Attempt-Id: a1\r\n" + lines,
         b"\x00body\xff",
     )  # fmt: skip
-    assert stand.ask(request).status == 200
+    assert harness.ask(request).status == 200
     (message,) = server.requests
     assert (message.head.method, message.head.target) == (b"PATCH", b"/unsafe/a%20b?q=1&q=%2F")
     assert message.body == b"\x00body\xff"
@@ -61,29 +61,29 @@
     assert message.head.fields[b"x-iristrack-attempt-id"] == b"a1"
 
 
-def test_a_body_in_chunks_arrives_whole(stand: Stand) -> None:
-    server = stand.serve(SOUND)
+def test_a_body_in_chunks_arrives_whole(harness: Harness) -> None:
+    server = harness.serve(SOUND)
     head, _, _ = asking("unsafe").replace(b"GET", b"POST").partition(b"Content-Length")
     body = http.chunk(b"one ") + http.chunk(b"two") + http.LAST_CHUNK
     request = head.removesuffix(b"\r\n") + b"Transfer-Encoding: chunked\r\n\r\n" + body
-    assert stand.ask(request).status == 200
+    assert harness.ask(request).status == 200
     assert server.requests[0].body == b"one two"
 
 
-def test_lines_of_the_clients_connection_stay_there(stand: Stand) -> None:
-    server = stand.serve(SOUND)
+def test_lines_of_the_clients_connection_stay_there(harness: Harness) -> None:
+    server = harness.serve(SOUND)
     lines = b"Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nTE: trailers\r\n"
-    stand.ask(asking("safe", lines=lines))
+    harness.ask(asking("safe", lines=lines))
     assert {b"connection", b"x-hop", b"keep-alive", b"te"}.isdisjoint(server.requests[0].head.fields)
 
 
-def test_what_the_system_says_replaces_what_a_client_says(stand: Stand) -> None:
-    server = stand.serve(SOUND)
+def test_what_the_system_says_replaces_what_a_client_says(harness: Harness) -> None:
+    server = harness.serve(SOUND)
     forged = (
         b"X-Iristrack-Tenant: forged\r\nX-Iristrack-Expect-Instance: i-9\r\nExpect-Version: 9\r\nCache-Salt: x\r\n"
         b"Kv-Fetch: 9.9.9.9:9\r\nKv-Save: 9.9.9.9:9\r\nPriority: 0\r\nLast-Event-Id: nine\r\n"
     )
-    assert stand.ask(asking("safe", lines=forged)).status == 200
+    assert harness.ask(asking("safe", lines=forged)).status == 200
     fields = server.requests[0].head.fields
     hidden = (
         b"x-iristrack-tenant",
@@ -102,12 +102,12 @@
 # ---- tenants
 
 
-def test_the_key_is_hidden_and_its_tenant_set(stand: Stand) -> None:
-    stand.configure(document(tenants=TENANTS))
-    server = stand.serve(SOUND)
+def test_the_key_is_hidden_and_its_tenant_set(harness: Harness) -> None:
+    harness.configure(document(tenants=TENANTS))
+    server = harness.serve(SOUND)
     for key, tenant, priority in (("key-o", b"north", b"1"), ("key-s", b"south", b"4")):
         lines = key_line(key) + b"X-Iristrack-Tenant: other\r\n"
-        assert stand.ask(asking("safe", lines=lines)).status == 200
+        assert harness.ask(asking("safe", lines=lines)).status == 200
         assert b"authorization" not in server.requests[-1].head.fields
         assert key.encode() not in server.requests[-1].head.raw
         assert server.header(b"x-iristrack-tenant") == tenant
@@ -124,52 +124,54 @@
         key_line("key-n") * 2,
     ],
 )
-def test_without_a_known_key_no_server_is_asked(stand: Stand, lines: bytes) -> None:
-    stand.configure(document(tenants=TENANTS))
-    server = stand.serve(SOUND)
-    assert stand.ask(asking("safe", lines=lines)).status == (400 if lines.count(b"key-n") == 2 else 401)
+def test_without_a_known_key_no_server_is_asked(harness: Harness, lines: bytes) -> None:
+    harness.configure(document(tenants=TENANTS))
+    server = harness.serve(SOUND)
+    assert harness.ask(asking("safe", lines=lines)).status == (400 if lines.count(b"key-n") == 2 else 401)
     assert server.requests == []
 
 
 @pytest.mark.parametrize("spelling", ["utf-8", "latin-1"])
-def test_a_key_may_hold_letters_beyond_ascii(stand: Stand, spelling: str) -> None:
-    stand.configure(document(tenants=[{"label": "north", "api_keys": ["kl\u00fc\u00e7"]}]))
-    server = stand.serve(SOUND)
+def test_a_key_may_hold_letters_beyond_ascii(harness: Harness, spelling: str) -> None:
+    harness.configure(document(tenants=[{"label": "north", "api_keys": ["kl\u00fc\u00e7"]}]))
+    server = harness.serve(SOUND)
     line = b"Authorization: Bearer " + "kl\u00fc\u00e7".encode(spelling) + b"\r\n"
-    assert stand.ask(asking("safe", lines=line)).status == 200
+    assert harness.ask(asking("safe", lines=line)).status == 200
     assert server.header(b"x-iristrack-tenant") == b"north"
 
 
 @pytest.mark.parametrize(
     ("lines", "tenant"), [(b"", None), (key_line("x"), None), (key_line("key-n"), b"north")]
 )
-def test_a_public_route_needs_no_key_and_shows_none(stand: Stand, lines: bytes, tenant: bytes | None) -> None:
-    stand.configure(document(tenants=TENANTS))
-    server = stand.serve(SOUND)
-    assert stand.ask(asking("public", lines=lines)).status == 200
+def test_a_public_route_needs_no_key_and_shows_none(
+    harness: Harness, lines: bytes, tenant: bytes | None
+) -> None:
+    harness.configure(document(tenants=TENANTS))
+    server = harness.serve(SOUND)
+    assert harness.ask(asking("public", lines=lines)).status == 200
     assert server.header(b"authorization") is None
     assert server.header(b"x-iristrack-tenant") == tenant
 
 
-def test_without_tenants_authorization_is_the_servers(stand: Stand) -> None:
-    server = stand.serve(SOUND)
-    stand.ask(asking("safe", lines=key_line("key-n") + b"X-Iristrack-Tenant: forged\r\n"))
+def test_without_tenants_authorization_is_the_servers(harness: Harness) -> None:
+    server = harness.serve(SOUND)
+    harness.ask(asking("safe", lines=key_line("key-n") + b"X-Iristrack-Tenant: forged\r\n"))
     assert server.header(b"authorization") == b"Bearer key-n"
     assert server.header(b"x-iristrack-tenant") is None
 
 
-def test_a_key_that_was_taken_away_ends_with_the_configuration(stand: Stand) -> None:
-    server = stand.serve(SOUND)
-    stand.configure(document(tenants=TENANTS))
-    assert stand.ask(asking("safe", lines=key_line("key-o"))).status == 200
-    stand.configure(document(tenants=[TENANTS[0] | {"api_keys": ["key-n"]}, TENANTS[1]]))
-    assert stand.ask(asking("safe", lines=key_line("key-o"))).status == 401
+def test_a_key_that_was_taken_away_ends_with_the_configuration(harness: Harness) -> None:
+    server = harness.serve(SOUND)
+    harness.configure(document(tenants=TENANTS))
+    assert harness.ask(asking("safe", lines=key_line("key-o"))).status == 200
+    harness.configure(document(tenants=[TENANTS[0] | {"api_keys": ["key-n"]}, TENANTS[1]]))
+    assert harness.ask(asking("safe", lines=key_line("key-o"))).status == 401
     assert len(server.requests) == 1
 
 
-def test_tenants_are_told_apart_whatever_their_labels_are_written_in(stand: Stand) -> None:
+def test_tenants_are_told_apart_whatever_their_labels_are_written_in(harness: Harness) -> None:
     labels = ["日", "月", "?"]
-    stand.configure(
+    harness.configure(
         document(
             tenants=[
                 {"label": label, "api_keys": [f"key-{number}"], "isolated": True}
@@ -177,123 +179,123 @@
             ]
         )
     )
-    server = stand.serve(SOUND)
+    server = harness.serve(SOUND)
     for number in range(len(labels)):
-        stand.ask(asking("safe", lines=PROMPT + PARTS + key_line(f"key-{number}")))
+        harness.ask(asking("safe", lines=PROMPT + PARTS + key_line(f"key-{number}")))
     fields = [message.head.fields for message in server.requests]
     for name in (b"x-iristrack-tenant", b"cache-salt"):
         assert len({found[name] for found in fields}) == len(labels)
 
 
-def test_a_label_never_becomes_a_line_of_its_own(stand: Stand) -> None:
+def test_a_label_never_becomes_a_line_of_its_own(harness: Harness) -> None:
     label = "a\r\nX-Forged: b"
-    stand.configure(document(tenants=[{"label": label, "api_keys": ["key"], "isolated": True}]))
-    server = stand.serve(SOUND)
-    stand.ask(asking("safe", lines=PROMPT + PARTS + key_line("key")))
+    harness.configure(document(tenants=[{"label": label, "api_keys": ["key"], "isolated": True}]))
+    server = harness.serve(SOUND)
+    harness.ask(asking("safe", lines=PROMPT + PARTS + key_line("key")))
     assert all(b"x-forged" not in message.head.fields for message in server.requests)
 
 
 # ---- time, instance, priority
 
 
-def test_the_time_left_shrinks_from_one_server_to_the_next(stand: Stand) -> None:
+def test_the_time_left_shrinks_from_one_server_to_the_next(harness: Harness) -> None:
     def late(conversation: Conversation) -> None:
         answered_at = clock() + 2 * NS_PER_MS  # the header has whole milliseconds
         while clock() < answered_at:
             yield_turn(conversation.server.scheduler)
         conversation.send(FULL)
 
-    first, second = stand.serve(late), stand.serve(SOUND)
-    stand.ask(asking("unsafe"))
+    first, second = harness.serve(late), harness.serve(SOUND)
+    harness.ask(asking("unsafe"))
     told = [int(server.header(b"x-iristrack-time-left-ms")) for server in (first, second)]
     assert 0 < told[1] < told[0] <= 9000
 
 
-def test_the_routes_timeout_bounds_the_time_left(stand: Stand) -> None:
-    server = stand.serve(SOUND)
-    stand.ask(asking("short"))
+def test_the_routes_timeout_bounds_the_time_left(harness: Harness) -> None:
+    server = harness.serve(SOUND)
+    harness.ask(asking("short"))
     assert 0 < int(server.header(b"x-iristrack-time-left-ms")) <= 250
 
 
-def test_each_server_is_named_as_the_one_that_is_meant(stand: Stand) -> None:
-    servers = [stand.serve(FULL), stand.serve(SOUND)]
-    stand.ask(asking("unsafe"))
+def test_each_server_is_named_as_the_one_that_is_meant(harness: Harness) -> None:
+    servers = [harness.serve(FULL), harness.serve(SOUND)]
+    harness.ask(asking("unsafe"))
     assert [server.header(b"x-iristrack-expect-instance") for server in servers] == [b"i-0", b"i-1"]
 
 
 @pytest.mark.parametrize(("priority", "told"), [(0, b"0"), (9, b"9"), (40, b"9"), (-3, b"0")])
-def test_the_priority_keeps_within_its_bounds(stand: Stand, priority: int, told: bytes) -> None:
-    stand.configure(document(tenants=[TENANTS[0] | {"priority": priority}]))
-    server = stand.serve(SOUND)
-    stand.ask(asking("safe", lines=key_line("key-n")))
+def test_the_priority_keeps_within_its_bounds(harness: Harness, priority: int, told: bytes) -> None:
+    harness.configure(document(tenants=[TENANTS[0] | {"priority": priority}]))
+    server = harness.serve(SOUND)
+    harness.ask(asking("safe", lines=key_line("key-n")))
     assert server.header(b"priority") == told
 
 
 # ---- kept prompts
 
 
-def test_salt_and_version_are_those_of_the_server_that_is_sent_to(stand: Stand) -> None:
-    first, second = stand.serve(FULL, revision=3), stand.serve(SOUND, revision=4)
-    stand.ask(asking("safe", lines=PROMPT + PARTS))
+def test_salt_and_version_are_those_of_the_server_that_is_sent_to(harness: Harness) -> None:
+    first, second = harness.serve(FULL, revision=3), harness.serve(SOUND, revision=4)
+    harness.ask(asking("safe", lines=PROMPT + PARTS))
     assert (first.header(b"expect-version"), first.header(b"cache-salt")) == (b"3", salt(3))
     assert (second.header(b"expect-version"), second.header(b"cache-salt")) == (b"4", salt(4))
 
 
-def test_an_isolated_tenant_has_a_salt_of_its_own(stand: Stand) -> None:
-    stand.configure(document(tenants=TENANTS))
-    server = stand.serve(SOUND)
+def test_an_isolated_tenant_has_a_salt_of_its_own(harness: Harness) -> None:
+    harness.configure(document(tenants=TENANTS))
+    server = harness.serve(SOUND)
     salts = []
     for key in ("key-n", "key-s"):
-        stand.ask(asking("safe", lines=PROMPT + PARTS + key_line(key)))
+        harness.ask(asking("safe", lines=PROMPT + PARTS + key_line(key)))
         salts.append(server.header(b"cache-salt"))
     assert salts == [salt(1), salt(1, "south")]
 
 
-def test_a_prompt_without_a_model_is_told_nothing_of_kept_parts(stand: Stand) -> None:
-    server = stand.serve(SOUND)
-    stand.ask(asking("safe", lines=PARTS))
+def test_a_prompt_without_a_model_is_told_nothing_of_kept_parts(harness: Harness) -> None:
+    server = harness.serve(SOUND)
+    harness.ask(asking("safe", lines=PARTS))
     assert {b"cache-salt", b"expect-version", b"kv-fetch", b"kv-save"}.isdisjoint(
         server.requests[0].head.fields
     )
 
 
-def test_parts_are_fetched_from_whoever_keeps_the_most(stand: Stand) -> None:
-    server, other = stand.serve(SOUND), stand.serve(SOUND)
-    keep(stand, other.address, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 1000))
-    stand.known("i-1").inflight = 60  # too busy to be sent to
-    stand.ask(asking("safe", lines=PROMPT + PARTS))
+def test_parts_are_fetched_from_whoever_keeps_the_most(harness: Harness) -> None:
+    server, other = harness.serve(SOUND), harness.serve(SOUND)
+    keep(harness, other.address, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 1000))
+    harness.known("i-1").inflight = 60  # too busy to be sent to
+    harness.ask(asking("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") == other.address.encode()
     assert server.header(b"kv-save") == STORE.encode()
 
 
-def test_parts_are_not_fetched_where_the_server_keeps_as_much(stand: Stand) -> None:
-    server, other = stand.serve(SOUND), stand.serve(SOUND)
-    keep(stand, other.address, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 30))
-    keep(stand, server.address, cache_salt(MODEL, 1, None), ("aa", 1500))
-    stand.ask(asking("safe", lines=PROMPT + PARTS))
+def test_parts_are_not_fetched_where_the_server_keeps_as_much(harness: Harness) -> None:
+    server, other = harness.serve(SOUND), harness.serve(SOUND)
+    keep(harness, other.address, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 30))
+    keep(harness, server.address, cache_salt(MODEL, 1, None), ("aa", 1500))
+    harness.ask(asking("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") is None
 
 
 @pytest.mark.parametrize("maker", [(MODEL, 2, None), (MODEL, 1, "south"), ("other", 1, None)])
-def test_parts_of_other_weights_or_behind_a_wall_are_not_fetched(stand: Stand, maker: tuple) -> None:
-    server, other = stand.serve(SOUND), stand.serve(SOUND)
-    keep(stand, other.address, cache_salt(*maker), ("aa", 1500), ("bb", 1000))
-    keep(stand, STORE, cache_salt(*maker), ("aa", 1500), ("bb", 1000))
-    stand.ask(asking("safe", lines=PROMPT + PARTS))
+def test_parts_of_other_weights_or_behind_a_wall_are_not_fetched(harness: Harness, maker: tuple) -> None:
+    server, other = harness.serve(SOUND), harness.serve(SOUND)
+    keep(harness, other.address, cache_salt(*maker), ("aa", 1500), ("bb", 1000))
+    keep(harness, STORE, cache_salt(*maker), ("aa", 1500), ("bb", 1000))
+    harness.ask(asking("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") is None
 
 
-def test_what_the_store_keeps_already_is_fetched_there_and_not_saved_again(stand: Stand) -> None:
-    server = stand.serve(SOUND)
-    keep(stand, STORE, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 1000))
-    stand.ask(asking("safe", lines=PROMPT + PARTS))
+def test_what_the_store_keeps_already_is_fetched_there_and_not_saved_again(harness: Harness) -> None:
+    server = harness.serve(SOUND)
+    keep(harness, STORE, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 1000))
+    harness.ask(asking("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") == STORE.encode()
     assert server.header(b"kv-save") is None
 
 
-def test_a_prompt_of_one_part_of_its_own_is_neither_fetched_nor_saved(stand: Stand) -> None:
-    server = stand.serve(SOUND)
-    stand.ask(asking("safe", lines=PROMPT + b"X-Iristrack-Prompt-Prefix: aa:1500\r\n"))
+def test_a_prompt_of_one_part_of_its_own_is_neither_fetched_nor_saved(harness: Harness) -> None:
+    server = harness.serve(SOUND)
+    harness.ask(asking("safe", lines=PROMPT + b"X-Iristrack-Prompt-Prefix: aa:1500\r\n"))
     assert server.header(b"cache-salt") == salt(1)
     assert server.header(b"kv-fetch") is None
     assert server.header(b"kv-save") is None
@@ -302,44 +304,44 @@
 # ---- weights
 
 
-def test_servers_without_the_model_are_not_asked(stand: Stand) -> None:
-    server = stand.serve(SOUND)
-    assert stand.ask(asking("safe", lines=b"X-Iristrack-Model: other\r\n")).status == 503
+def test_servers_without_the_model_are_not_asked(harness: Harness) -> None:
+    server = harness.serve(SOUND)
+    assert harness.ask(asking("safe", lines=b"X-Iristrack-Model: other\r\n")).status == 503
     assert server.requests == []
 
 
-def test_the_version_that_an_answer_tells_counts_at_once(stand: Stand) -> None:
-    server = stand.serve(http.response(200, b"x", SEALED + b"Versions: 6\r\n"))
+def test_the_version_that_an_answer_tells_counts_at_once(harness: Harness) -> None:
+    server = harness.serve(http.response(200, b"x", SEALED + b"Versions: 6\r\n"))
     for _ in range(2):
-        stand.ask(asking("safe", lines=PROMPT + PARTS))
+        harness.ask(asking("safe", lines=PROMPT + PARTS))
     assert [server.header(b"expect-version", number) for number in (0, 1)] == [b"1", b"6"]
 
 
-def test_a_server_whose_weights_were_not_those_expected_tells_which_it_has(stand: Stand) -> None:
-    stand.serve(http.response(421, b"", b"Versions: 5\r\n"))
-    stand.serve(SOUND)
-    assert stand.ask(asking("unsafe", lines=PROMPT)).status == 200
-    assert stand.known("i-0").revisions == {MODEL: 5}
+def test_a_server_whose_weights_were_not_those_expected_tells_which_it_has(harness: Harness) -> None:
+    harness.serve(http.response(421, b"", b"Versions: 5\r\n"))
+    harness.serve(SOUND)
+    assert harness.ask(asking("unsafe", lines=PROMPT)).status == 200
+    assert harness.known("i-0").revisions == {MODEL: 5}
 
 
-def test_a_long_prompt_counts_in_pieces_until_the_first_token(stand: Stand) -> None:
+def test_a_long_prompt_counts_in_pieces_until_the_first_token(harness: Harness) -> None:
     seen = []
 
     def answer(conversation: Conversation) -> None:
-        server = stand.known("i-0")
+        server = harness.known("i-0")
         seen.append((server.inflight, server.pending_chunks))
         conversation.send(SOUND)
 
-    stand.serve(answer)
-    stand.ask(asking("safe", lines=PROMPT))
+    harness.serve(answer)
+    harness.ask(asking("safe", lines=PROMPT))
     assert seen == [(1, -(-3000 // PREFILL_CHUNK_TOKENS))]
 
 
 @pytest.mark.parametrize("told", [b"4243.99999999907", b"1.0000000000000000000001", b"9000.0"])
-def test_a_time_left_is_read_as_computers_write_it(stand: Stand, told: bytes) -> None:
-    stand.serve(SOUND)
+def test_a_time_left_is_read_as_computers_write_it(harness: Harness, told: bytes) -> None:
+    harness.serve(SOUND)
     request = asking("safe").replace(b"X-Iristrack-Time-Left-Ms: 9000", b"X-Iristrack-Time-Left-Ms: " + told)
-    assert stand.ask(request).status in (200, 503, 504)  # by how much is left, and never 400
+    assert harness.ask(request).status in (200, 503, 504)  # by how much is left, and never 400
 
 
 @pytest.mark.parametrize(
@@ -347,9 +349,9 @@
     [("North Hall", b"North Hall"), (" North", b"%20North"), ("50% off", b"50%25 off"), ("a\tb", b"a%09b")],
 )
 def test_a_tenants_name_reaches_the_server_with_its_inner_spaces(
-    stand: Stand, tenant: str, told: bytes
+    harness: Harness, tenant: str, told: bytes
 ) -> None:
-    stand.configure(document(tenants=[{"label": tenant, "api_keys": ["key-n"]}]))
-    server = stand.serve(SOUND)
-    stand.ask(asking("safe", lines=key_line("key-n")))
+    harness.configure(document(tenants=[{"label": tenant, "api_keys": ["key-n"]}]))
+    server = harness.serve(SOUND)
+    harness.ask(asking("safe", lines=key_line("key-n")))
     assert server.header(b"x-iristrack-tenant") == told
--- a/tests/dataplane/test_single_flight.py
+++ b/tests/dataplane/test_single_flight.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from iristrack.http1 import messages as http
-from tests.dataplane.stand import MODEL, SEALED, Client, Conversation, Stand, asking, yield_turn
+from tests.dataplane.harness import MODEL, SEALED, Client, Conversation, Harness, asking, yield_turn
 
 DONE = http.response(200, b"done", SEALED)
 LINES = b"X-Iristrack-Model: %b\r\nX-Iristrack-Token-Count: %d,9\r\nX-Iristrack-Prompt-Prefix: %b\r\n"
@@ -14,47 +14,47 @@
     return LINES % (MODEL.encode(), 6300, f"{shared},{own}:300".encode())
 
 
-def ask_together(stand: Stand, lines: list[bytes]) -> None:
+def ask_together(harness: Harness, lines: list[bytes]) -> None:
     """Send requests one after the other, none of which is answered before all have arrived at a server."""
 
     def arrived() -> int:
-        return sum(len(server.requests) for server in stand.servers.values())
+        return sum(len(server.requests) for server in harness.servers.values())
 
     def hold(conversation: Conversation) -> None:
         while arrived() < len(lines):
-            yield_turn(stand.scheduler)
+            yield_turn(harness.scheduler)
         conversation.send(DONE)
 
-    for server in (stand.serve(hold), stand.serve(hold)):
+    for server in (harness.serve(hold), harness.serve(hold)):
         assert server.requests == []
 
     def call(number: int) -> None:
         while arrived() < number:
-            yield_turn(stand.scheduler)
-        client = Client(stand)
+            yield_turn(harness.scheduler)
+        client = Client(harness)
         client.send(asking("safe", f"a{number}", lines[number]))
         assert client.receive().status == 200
         client.leave()
 
-    stand.run(*[lambda number=number: call(number) for number in range(len(lines))])
+    harness.run(*[lambda number=number: call(number) for number in range(len(lines))])
 
 
-def arrivals(stand: Stand) -> list[int]:
-    return sorted(len(server.requests) for server in stand.servers.values())
+def arrivals(harness: Harness) -> list[int]:
+    return sorted(len(server.requests) for server in harness.servers.values())
 
 
-def test_requests_with_the_same_shared_parts_go_along_with_the_one_that_reads_them(stand: Stand) -> None:
-    ask_together(stand, [prompt(f"c{number}") for number in range(REQUESTS)])
-    assert arrivals(stand) == [0, REQUESTS]
-    assert len(stand.plane.pending_prefills) == 0
+def test_requests_with_the_same_shared_parts_go_along_with_the_one_that_reads_them(harness: Harness) -> None:
+    ask_together(harness, [prompt(f"c{number}") for number in range(REQUESTS)])
+    assert arrivals(harness) == [0, REQUESTS]
+    assert len(harness.plane.pending_prefills) == 0
 
 
-def test_requests_with_other_parts_do_not_wait_there(stand: Stand) -> None:
-    ask_together(stand, [prompt(f"c{number}", f"d{number}:4000,e{number}:2000") for number in range(2)])
-    assert arrivals(stand) == [1, 1]
+def test_requests_with_other_parts_do_not_wait_there(harness: Harness) -> None:
+    ask_together(harness, [prompt(f"c{number}", f"d{number}:4000,e{number}:2000") for number in range(2)])
+    assert arrivals(harness) == [1, 1]
 
 
-def test_a_reader_that_fails_is_none_any_more(stand: Stand) -> None:
-    stand.serve(lambda conversation: conversation.reset())
-    stand.ask(asking("once", "a1", prompt("c1")))
-    assert len(stand.plane.pending_prefills) == 0
+def test_a_reader_that_fails_is_none_any_more(harness: Harness) -> None:
+    harness.serve(lambda conversation: conversation.reset())
+    harness.ask(asking("once", "a1", prompt("c1")))
+    assert len(harness.plane.pending_prefills) == 0
--- a/tests/dataplane/test_streams.py
+++ b/tests/dataplane/test_streams.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from iristrack.http1 import messages as http
-from tests.dataplane.stand import (
+from tests.dataplane.harness import (
     Client,
     Conversation,
-    Stand,
+    Harness,
     asking,
     chunks,
     event,
     events,
-    make_stand,
+    make_harness,
     stream,
     stream_head,
     yield_turn,
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("prefix", ["stream", "resumable"])
-def test_events_come_as_they_are_and_one_by_one(stand: Stand, prefix: str) -> None:
+def test_events_come_as_they_are_and_one_by_one(harness: Harness, prefix: str) -> None:
     passed: list[int] = []
 
     def answer(conversation: Conversation) -> None:
@@ -52,10 +52,10 @@
                 yield_turn(conversation.server.scheduler)
         conversation.send(http.LAST_CHUNK)
 
-    stand.serve(answer)
+    harness.serve(answer)
 
     def call() -> bytes:
-        client = Client(stand)
+        client = Client(harness)
         client.send(asking(prefix))
         raw = b""
         for number in range(1, 5):
@@ -63,13 +63,13 @@
             passed.append(number)
         return raw + client.receive().raw
 
-    (raw,) = stand.run(call)
+    (raw,) = harness.run(call)
     whole = http.Reader(response=True).feed(raw)
     assert whole.body == events(1, 4)
     assert whole.head.fields[b"content-type"] == b"text/event-stream"
 
 
-def test_half_an_event_is_held_back_until_it_is_whole(stand: Stand) -> None:
+def test_half_an_event_is_held_back_until_it_is_whole(harness: Harness) -> None:
     half, rest = event(2)[:5], event(2)[5:]
     seen: list[bytes] = []
 
@@ -79,25 +79,27 @@
             yield_turn(conversation.server.scheduler)
         conversation.send(http.chunk(rest) + http.LAST_CHUNK)
 
-    stand.serve(answer)
+    harness.serve(answer)
 
     def call() -> bytes:
-        client = Client(stand)
+        client = Client(harness)
         client.send(asking("stream"))
         seen.append(client.receive(until=event(1)).raw)
         return client.receive().raw
 
-    (raw,) = stand.run(call)
+    (raw,) = harness.run(call)
     assert seen[0].endswith(http.chunk(event(1)))
     assert raw == http.chunk(event(2)) + http.LAST_CHUNK
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
 @pytest.mark.parametrize("partial", [b"", event(4)[:7]])
-def test_a_cut_stream_goes_on_elsewhere_without_gap_or_double(stand: Stand, end: str, partial: bytes) -> None:
+def test_a_cut_stream_goes_on_elsewhere_without_gap_or_double(
+    harness: Harness, end: str, partial: bytes
+) -> None:
     cut = stream_head() + chunks(1, 3) + (http.chunk(partial) if partial else b"")
-    first, second = stand.serve(breaking_after(cut, end)), stand.serve(resuming(6))
-    answer = stand.ask(asking("resumable"))
+    first, second = harness.serve(breaking_after(cut, end)), harness.serve(resuming(6))
+    answer = harness.ask(asking("resumable"))
     assert (answer.status, answer.body, answer.end) == (200, events(1, 6), "open")
     assert answer.header(b"x-iristrack-server-seal") == b"s1"  # of the server that it came from first
     assert first.header(b"last-event-id") is None
@@ -126,61 +128,61 @@
 
         return answer
 
-    stand = make_stand()
-    servers = [stand.serve(cutting(first_cut, b"s1")), stand.serve(cutting(second_cut, b"s2"))]
-    servers.append(stand.serve(resuming(9, again, b"s3")))
+    harness = make_harness()
+    servers = [harness.serve(cutting(first_cut, b"s1")), harness.serve(cutting(second_cut, b"s2"))]
+    servers.append(harness.serve(resuming(9, again, b"s3")))
     lines = b"Last-Event-Id: %d\r\n" % begun if begun else b""
-    assert stand.ask(asking("resumable", lines=lines)).body == events(begun + 1, 9)
+    assert harness.ask(asking("resumable", lines=lines)).body == events(begun + 1, 9)
     assert [len(server.requests) for server in servers] == [1, 1, 1]
     for server in servers:
         server.stop()
-    stand.listener.stop_accepting()
+    harness.listener.stop_accepting()
 
 
-def test_a_stream_may_be_cut_twice(stand: Stand) -> None:
-    stand.serve(breaking_after(stream_head() + chunks(1, 2)))
-    stand.serve(breaking_after(stream_head(b"s2") + chunks(3, 4), "reset"))
-    third = stand.serve(resuming(6, seal=b"s3"))
-    answer = stand.ask(asking("resumable"))
+def test_a_stream_may_be_cut_twice(harness: Harness) -> None:
+    harness.serve(breaking_after(stream_head() + chunks(1, 2)))
+    harness.serve(breaking_after(stream_head(b"s2") + chunks(3, 4), "reset"))
+    third = harness.serve(resuming(6, seal=b"s3"))
+    answer = harness.ask(asking("resumable"))
     assert (answer.body, third.header(b"last-event-id")) == (events(1, 6), b"4")
 
 
-def test_events_that_come_again_are_left_out(stand: Stand) -> None:
-    stand.serve(breaking_after(stream_head() + chunks(1, 3)))
-    stand.serve(resuming(6, repeated=2))
-    assert stand.ask(asking("resumable")).body == events(1, 6)
+def test_events_that_come_again_are_left_out(harness: Harness) -> None:
+    harness.serve(breaking_after(stream_head() + chunks(1, 3)))
+    harness.serve(resuming(6, repeated=2))
+    assert harness.ask(asking("resumable")).body == events(1, 6)
 
 
-def test_the_last_event_counts_where_lines_without_an_id_stand_behind_it(stand: Stand) -> None:
+def test_the_last_event_counts_where_lines_without_an_id_stand_behind_it(harness: Harness) -> None:
     comment = b": still here\n\n"
-    stand.serve(breaking_after(stream_head() + http.chunk(events(1, 3) + comment)))
-    second = stand.serve(resuming(5))
-    answer = stand.ask(asking("resumable"))
+    harness.serve(breaking_after(stream_head() + http.chunk(events(1, 3) + comment)))
+    second = harness.serve(resuming(5))
+    answer = harness.ask(asking("resumable"))
     assert second.header(b"last-event-id") == b"3"
     assert answer.body == events(1, 3) + comment + events(4, 5)
 
 
-def test_a_stream_cut_before_its_first_event_begins_at_the_next_server(stand: Stand) -> None:
-    stand.serve(breaking_after(stream_head()))
-    second = stand.serve(resuming(3))
-    answer = stand.ask(asking("resumable"))
+def test_a_stream_cut_before_its_first_event_begins_at_the_next_server(harness: Harness) -> None:
+    harness.serve(breaking_after(stream_head()))
+    second = harness.serve(resuming(3))
+    answer = harness.ask(asking("resumable"))
     assert (answer.body, second.header(b"last-event-id")) == (events(1, 3), None)
     assert answer.header(b"x-iristrack-server-seal") == b"s2"  # nothing of the first was passed on
 
 
-def test_a_client_that_goes_on_itself_is_sent_nothing_twice(stand: Stand) -> None:
-    server = stand.serve(resuming(6, repeated=1))
-    answer = stand.ask(asking("resumable", lines=b"Last-Event-Id: 4\r\n"))
+def test_a_client_that_goes_on_itself_is_sent_nothing_twice(harness: Harness) -> None:
+    server = harness.serve(resuming(6, repeated=1))
+    answer = harness.ask(asking("resumable", lines=b"Last-Event-Id: 4\r\n"))
     assert server.header(b"last-event-id") == b"4"
     assert answer.body == events(5, 6)
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
 @pytest.mark.parametrize("partial", [b"", event(3)[:7]])
-def test_a_cut_stream_that_may_not_be_resumed_is_broken_off_for_all_to_see(stand, end, partial) -> None:
+def test_a_cut_stream_that_may_not_be_resumed_is_broken_off_for_all_to_see(harness, end, partial) -> None:
     cut = stream_head() + chunks(1, 2) + (http.chunk(partial) if partial else b"")
-    server, other = stand.serve(breaking_after(cut, end)), stand.serve(stream(1, 9))
-    answer = stand.ask(asking("stream"))
+    server, other = harness.serve(breaking_after(cut, end)), harness.serve(stream(1, 9))
+    answer = harness.ask(asking("stream"))
     assert not answer.complete
     assert answer.end == "reset"
     assert not answer.raw.endswith(http.LAST_CHUNK)
@@ -189,96 +191,96 @@
     assert (len(server.requests), other.requests) == (1, [])
 
 
-def test_a_stream_without_a_further_server_is_broken_off_for_all_to_see(stand: Stand) -> None:
-    stand.serve(breaking_after(stream_head() + chunks(1, 2)))
-    answer = stand.ask(asking("resumable"))
+def test_a_stream_without_a_further_server_is_broken_off_for_all_to_see(harness: Harness) -> None:
+    harness.serve(breaking_after(stream_head() + chunks(1, 2)))
+    answer = harness.ask(asking("resumable"))
     assert (answer.complete, answer.end) == (False, "reset")
     assert not answer.raw.endswith(http.LAST_CHUNK)
 
 
-def test_a_stream_that_ends_inside_an_event_is_not_complete(stand: Stand) -> None:
-    stand.serve(stream_head() + chunks(1, 2) + http.chunk(event(3)[:9]) + http.LAST_CHUNK)
-    answer = stand.ask(asking("stream"))
+def test_a_stream_that_ends_inside_an_event_is_not_complete(harness: Harness) -> None:
+    harness.serve(stream_head() + chunks(1, 2) + http.chunk(event(3)[:9]) + http.LAST_CHUNK)
+    answer = harness.ask(asking("stream"))
     assert (answer.complete, answer.end) == (False, "reset")
 
 
 @pytest.mark.parametrize("status", [400, 404, 500, 503])
-def test_a_failure_after_the_cut_never_ends_the_stream_as_if_whole(stand: Stand, status: int) -> None:
-    stand.serve(breaking_after(stream_head() + chunks(1, 2)))
-    stand.serve(http.response(status, b"why"))
-    answer = stand.ask(asking("resumable"))
+def test_a_failure_after_the_cut_never_ends_the_stream_as_if_whole(harness: Harness, status: int) -> None:
+    harness.serve(breaking_after(stream_head() + chunks(1, 2)))
+    harness.serve(http.response(status, b"why"))
+    answer = harness.ask(asking("resumable"))
     assert (answer.complete, answer.end) == (False, "reset")
     assert b"why" not in answer.raw
 
 
-def test_a_server_that_turns_the_rest_away_is_followed_by_another(stand: Stand) -> None:
-    stand.serve(breaking_after(stream_head() + chunks(1, 2)))
-    stand.serve(http.response(503, b"full", b"X-Iristrack-Not-Executed: 1\r\n"))
-    third = stand.serve(resuming(4))
-    answer = stand.ask(asking("resumable"))
+def test_a_server_that_turns_the_rest_away_is_followed_by_another(harness: Harness) -> None:
+    harness.serve(breaking_after(stream_head() + chunks(1, 2)))
+    harness.serve(http.response(503, b"full", b"X-Iristrack-Not-Executed: 1\r\n"))
+    third = harness.serve(resuming(4))
+    answer = harness.ask(asking("resumable"))
     assert (answer.body, third.header(b"last-event-id")) == (events(1, 4), b"2")
 
 
-def test_the_time_over_in_a_stream_breaks_it_off(stand: Stand) -> None:
+def test_the_time_over_in_a_stream_breaks_it_off(harness: Harness) -> None:
     def answer(conversation: Conversation) -> None:
         conversation.send(stream_head() + chunks(1, 1))
         conversation.wait_for_end()
 
-    server = stand.serve(answer)
+    server = harness.serve(answer)
     request = asking("stream").replace(b"Time-Left-Ms: 9000", b"Time-Left-Ms: 250")
-    answer = stand.ask(request)
+    answer = harness.ask(request)
     assert (answer.complete, answer.end) == (False, "reset")
-    stand.turn_until(lambda: server.ended == 1)
+    harness.turn_until(lambda: server.ended == 1)
 
 
-def test_an_empty_stream_is_whole(stand: Stand) -> None:
-    stand.serve(stream_head() + http.LAST_CHUNK)
-    answer = stand.ask(asking("stream"))
+def test_an_empty_stream_is_whole(harness: Harness) -> None:
+    harness.serve(stream_head() + http.LAST_CHUNK)
+    answer = harness.ask(asking("stream"))
     assert (answer.status, answer.body) == (200, b"")
 
 
-def test_a_change_of_weights_told_by_an_event_is_learned(stand: Stand) -> None:
+def test_a_change_of_weights_told_by_an_event_is_learned(harness: Harness) -> None:
     told = b"versions: 4\n" + event(2)
-    stand.serve(stream_head() + chunks(1, 1) + http.chunk(told) + http.LAST_CHUNK)
-    answer = stand.ask(asking("stream", lines=b"X-Iristrack-Model: daka510000\r\n"))
+    harness.serve(stream_head() + chunks(1, 1) + http.chunk(told) + http.LAST_CHUNK)
+    answer = harness.ask(asking("stream", lines=b"X-Iristrack-Model: daka510000\r\n"))
     assert answer.body == event(1) + told
-    assert stand.known("i-0").revisions == {"daka510000": 4}
+    assert harness.known("i-0").revisions == {"daka510000": 4}
 
 
 LONG_ID = 2026120400017000000  # 19 digits: a statement's number and six digits for the piece
 
 
 @pytest.mark.parametrize("first", [10**17, LONG_ID, 10**900])
-def test_a_stream_with_long_event_ids_is_resumed_and_comes_once(stand: Stand, first: int) -> None:
-    stand.serve(breaking_after(stream_head() + chunks(first, first + 2)))
-    second = stand.serve(stream(first + 3, first + 5, b"s2"))
-    answer = stand.ask(asking("resumable"))
+def test_a_stream_with_long_event_ids_is_resumed_and_comes_once(harness: Harness, first: int) -> None:
+    harness.serve(breaking_after(stream_head() + chunks(first, first + 2)))
+    second = harness.serve(stream(first + 3, first + 5, b"s2"))
+    answer = harness.ask(asking("resumable"))
     assert answer.body == events(first, first + 5)
     assert second.header(b"last-event-id") == b"%d" % (first + 2)
 
 
-def test_a_client_that_goes_on_behind_a_long_event_id_is_heard(stand: Stand) -> None:
-    server = stand.serve(stream(LONG_ID, LONG_ID + 3))
-    answer = stand.ask(asking("resumable", lines=b"Last-Event-Id: %d\r\n" % (LONG_ID + 1)))
+def test_a_client_that_goes_on_behind_a_long_event_id_is_heard(harness: Harness) -> None:
+    server = harness.serve(stream(LONG_ID, LONG_ID + 3))
+    answer = harness.ask(asking("resumable", lines=b"Last-Event-Id: %d\r\n" % (LONG_ID + 1)))
     assert server.header(b"last-event-id") == b"%d" % (LONG_ID + 1)
     assert answer.body == events(LONG_ID + 2, LONG_ID + 3)
 
 
 @pytest.mark.parametrize("piece", [b"data: no id\n\n", b"id: x7\ndata: x\n\n"])
-def test_a_stream_is_not_begun_again_behind_a_piece_without_an_id(stand: Stand, piece: bytes) -> None:
-    stand.serve(breaking_after(stream_head() + http.chunk(piece)))
-    second = stand.serve(stream(1, 3, b"s2"))
-    answer = stand.ask(asking("resumable"))
+def test_a_stream_is_not_begun_again_behind_a_piece_without_an_id(harness: Harness, piece: bytes) -> None:
+    harness.serve(breaking_after(stream_head() + http.chunk(piece)))
+    second = harness.serve(stream(1, 3, b"s2"))
+    answer = harness.ask(asking("resumable"))
     assert not answer.complete
     assert piece in answer.raw
     assert second.requests == []
 
 
-def test_a_long_failure_of_the_server_that_resumes_is_no_second_answer(stand: Stand) -> None:
+def test_a_long_failure_of_the_server_that_resumes_is_no_second_answer(harness: Harness) -> None:
     length = 300 * 1024
     failure = b"HTTP/1.1 500 Internal Server Error\r\nX-Iristrack-Server-Seal: s2\r\n"
-    stand.serve(breaking_after(stream_head() + chunks(1, 2)))
-    stand.serve(failure + b"Content-Length: %d\r\n\r\n" % length + b"x" * length)
-    answer = stand.ask(asking("resumable"))
+    harness.serve(breaking_after(stream_head() + chunks(1, 2)))
+    harness.serve(failure + b"Content-Length: %d\r\n\r\n" % length + b"x" * length)
+    answer = harness.ask(asking("resumable"))
     assert not answer.complete
     assert answer.raw.count(b"HTTP/1.1") == 1
