--- a/iristrack/dataplane/attempts.py
+++ b/iristrack/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one server: the connection, the answer's head and its pieces."""
+"""One sending of a request to one server: the connection, the answer's head and its read_body."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-CONNECT_NS = 400 * NS_PER_MS
-USER_TIMEOUT_MS = 700  # unacknowledged bytes for so long end a connection to a server
-KEEPALIVE_S = 1  # and silence of its machine is noticed by probes
-KEEPALIVE_PROBES = 2
-ATTEMPT_ID = b"x-iristrack-attempt-id"
-NOT_EXECUTED = b"x-iristrack-not-executed"
-SEAL = b"x-iristrack-server-seal"
-_KEEP_ALIVE = re.compile(rb"timeout=([0-9]{1,6})")
+CONNECT_TIMEOUT_NS = 400 * NS_PER_MS
+TCP_USER_TIMEOUT_MS = 700  # unacknowledged bytes for so long end a connection to a server
+TCP_KEEPALIVE_S = 1  # and silence of its machine is noticed by probes
+TCP_KEEPALIVE_PROBE_COUNT = 2
+ATTEMPT_ID_HEADER = b"x-iristrack-attempt-id"
+NOT_EXECUTED_HEADER = b"x-iristrack-not-executed"
+SEAL_HEADER = b"x-iristrack-server-seal"
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=([0-9]{1,6})")
 
 
 class AttemptFailed(Exception):
-    """An attempt without a whole answer; `ran` tells whether the server may have run it."""
+    """An attempt without a whole answer; `may_have_run` tells whether the server may have run it."""
 
-    def __init__(self, reason: str, ran: bool) -> None:
+    def __init__(self, reason: str, may_have_run: bool) -> None:
         """`reason` is for the log."""
         super().__init__(reason)
-        self.ran = ran
+        self.may_have_run = may_have_run
 
 
 class NotBegunInTime(AttemptFailed):
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         """The server may have begun it in this moment."""
-        super().__init__("not begun before its weights ceased to count", ran=True)
+        super().__init__("not begun before its weights ceased to count", may_have_run=True)
 
 
 class SendForbidden(Exception):
@@ -57,23 +57,23 @@
 
     SUCCESS = "success"
     NOT_EXECUTED = "not_executed"  # turned away: it has not run, and never will
-    FAILURE = "failure"  # it ran, and this is the answer
+    FAILURE = "failure"  # it may_have_run, and this is the answer
     UNKNOWN = "unknown"  # a status that promises what the server did not say: it may have run
 
 
 def classify_response(head: http.Head) -> ResponseClass:
     """Judge an answer by its head alone."""
-    if NOT_EXECUTED in head.fields or head.status == 421:
+    if NOT_EXECUTED_HEADER in head.fields or head.status == 421:
         return ResponseClass.NOT_EXECUTED
     if 200 <= head.status < 300:
-        return ResponseClass.SUCCESS if SEAL in head.fields else ResponseClass.UNKNOWN
+        return ResponseClass.SUCCESS if SEAL_HEADER in head.fields else ResponseClass.UNKNOWN
     if head.status in (408, 421, 429, 503):
         return ResponseClass.UNKNOWN
     return ResponseClass.FAILURE
 
 
 class Attempt:
-    """One attempt. Its methods are called in order: `send`, `read_head`, `pieces`, and `close` at any end."""
+    """One attempt. Its methods are called in order: `send`, `read_head`, `read_body`, and `close` at any end."""
 
     def __init__(
         self, scheduler: Scheduler, links: Links, server: Server, client: ClientConnection, deadline: int
@@ -91,7 +91,7 @@
             deadline
         )  # ns; asked again when that moment has come
         self._link: Link | None = None
-        self._whole: http.Message | None = None  # an answer without a body
+        self._bodiless_message: http.Message | None = None  # an answer without a body
 
     def send(self, request: bytes, may_send: Callable[[], bool]) -> None:
         """Open or reuse a connection and write the request; raises `AttemptFailed`.
@@ -99,11 +99,11 @@
         `may_send` is asked last, as the wait for a connection takes time; raises `SendForbidden` where it says no.
         """
         try:
-            link = self.links.take(self.server.instance_id, min(self.deadline, clock() + CONNECT_NS))
-        except OSError as fault:
-            raise AttemptFailed(f"connect: {fault}", ran=False) from None
+            link = self.links.take(self.server.instance_id, min(self.deadline, clock() + CONNECT_TIMEOUT_NS))
+        except OSError as error:
+            raise AttemptFailed(f"connect: {error}", may_have_run=False) from None
         if link is None:
-            raise AttemptFailed("no connection can be had", ran=False)
+            raise AttemptFailed("no connection can be had", may_have_run=False)
         self._link = link
         if not may_send():
             raise SendForbidden
@@ -111,8 +111,8 @@
         self.sent_at = clock()
         try:
             self._write(request)
-        except OSError as fault:
-            raise AttemptFailed(f"write: {fault}", ran=True) from None
+        except OSError as error:
+            raise AttemptFailed(f"write: {error}", may_have_run=True) from None
 
     def read_head(self, attempt_id: bytes) -> http.Head:
         """The head of this attempt's answer; answers of earlier requests that come late are dropped.
@@ -126,13 +126,15 @@
             if head is None:
                 continue
             if head.status == 101:
-                raise AttemptFailed("another protocol", ran=True)
-            told_id = head.fields.get(ATTEMPT_ID)
-            if told_id is None and self._is_reused:
-                raise AttemptFailed("an answer without an id, which may be an earlier request's", ran=True)
-            if told_id is None or told_id == attempt_id:
+                raise AttemptFailed("another protocol", may_have_run=True)
+            response_id = head.fields.get(ATTEMPT_ID_HEADER)
+            if response_id is None and self._is_reused:
+                raise AttemptFailed(
+                    "an answer without an id, which may be an earlier request's", may_have_run=True
+                )
+            if response_id is None or response_id == attempt_id:
                 self.head = head
-                self._whole = message
+                self._bodiless_message = message
                 return head
             if message is None:
                 self._drop_answer()
@@ -142,10 +144,10 @@
         """Has the connection carried an earlier request, and rested since?"""
         return self._link.idle_since != 0
 
-    def pieces(self) -> Iterator[bytes]:
+    def read_body(self) -> Iterator[bytes]:
         """The answer's body as it comes, without its framing; ends only with the whole body."""
-        if self._whole is not None:
-            yield self._whole.body
+        if self._bodiless_message is not None:
+            yield self._bodiless_message.body
             return
         reader = self._link.reader
         while True:
@@ -196,19 +198,19 @@
                 return reader.feed(data)
             message = reader.end()
             if message is None and not reader.done:
-                raise AttemptFailed("closed before the answer's end", ran=True)
+                raise AttemptFailed("closed before the answer's end", may_have_run=True)
             return message
         except TimeoutError:
             raise DeadlinePassed from None
-        except (OSError, http.Malformed, http.Truncated) as fault:
-            raise AttemptFailed(f"read: {fault}", ran=True) from None
+        except (OSError, http.Malformed, http.Truncated) as error:
+            raise AttemptFailed(f"read: {error}", may_have_run=True) from None
 
     def _recv(self, link: Link) -> bytes:
         """Wait for the next bytes, also where some are there already: other tasks and the deadline have their turn."""
         while True:
-            if self.client.left:
+            if self.client.disconnected:
                 raise ClientDisconnected
-            if self._wait_readable(link) == WOKEN and self.client.left:
+            if self._wait_readable(link) == WOKEN and self.client.disconnected:
                 raise ClientDisconnected
             with suppress(BlockingIOError):
                 return link.sock.recv(RECEIVE)
@@ -233,7 +235,7 @@
         link = self._link
         view = memoryview(request)
         while view:
-            if self.client.left:
+            if self.client.disconnected:
                 raise ClientDisconnected
             try:
                 view = view[link.sock.send(view) :]
@@ -244,15 +246,15 @@
 def connect_to_server(scheduler: Scheduler, address: Address, deadline: int) -> socket.socket:
     """A new connection to a server, which ends where its machine falls silent; raises `OSError`."""
     sock = connect(scheduler, address, deadline)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, TCP_KEEPALIVE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, TCP_KEEPALIVE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, TCP_KEEPALIVE_PROBE_COUNT)
     return sock
 
 
 def _keep_alive_ns(head: http.Head) -> int | None:
     """How long the server keeps the connection idle, where it says so."""
-    found = _KEEP_ALIVE.search(head.fields.get(b"keep-alive", b""))
+    found = _KEEP_ALIVE_TIMEOUT.search(head.fields.get(b"keep-alive", b""))
     return int(found[1]) * NS_PER_S if found else None
--- a/iristrack/dataplane/client_response.py
+++ b/iristrack/dataplane/client_response.py
@@ -5,7 +5,7 @@
 from iristrack.dataplane.clients import ClientConnection
 from iristrack.http1 import messages as http
 
-NO_CHUNKS_VERSION = (
+HTTP_1_0_MINOR_VERSION = (
     0  # the minor version of HTTP/1 whose clients know no chunks: the connection's end is the body's
 )
 
@@ -16,11 +16,11 @@
     def __init__(self, client: ClientConnection, keep: bool, version: int) -> None:
         """`keep`: does the connection go on after the answer? `version` is the minor one of the client's HTTP/1."""
         self.client = client
-        self.chunked = version > NO_CHUNKS_VERSION
+        self.chunked = version > HTTP_1_0_MINOR_VERSION
         self.keep = keep and self.chunked
         self.begun = False
 
-    def whole(self, status: int, body: bytes, lines: bytes) -> None:
+    def send(self, status: int, body: bytes, lines: bytes) -> None:
         """Answer at once."""
         self.client.write(http.response(status, body, lines, close=not self.keep))
 
@@ -35,7 +35,7 @@
         )
         self.begun = True
 
-    def piece(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Pass on a part of the body."""
         if data:
             self.client.write(http.chunk(data) if self.chunked else data)
@@ -45,6 +45,6 @@
         if self.chunked:
             self.client.write(http.LAST_CHUNK)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Reset the connection, so that nobody takes what was passed on for the whole."""
-        self.client.broken = True
+        self.client.reset_on_close = True
--- a/iristrack/dataplane/clients.py
+++ b/iristrack/dataplane/clients.py
@@ -22,13 +22,13 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-BACKLOG = 1024
-ACCEPTS = 64  # connections taken in one turn
-RECEIVE = 64 * 1024
-STALL_NS = 4 * NS_PER_S  # a client that takes nothing for so long is given up
-PART_NS = 100 * NS_PER_MS  # a client has so long to end a connection that was shut here
-BODY_PAUSE_NS = 3 * NS_PER_S  # a body may pause for so long
-RETRY_ACCEPT_NS = 50 * NS_PER_MS
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_TURN = 64  # connections taken in one turn
+RECEIVE_BYTES = 64 * 1024
+WRITE_STALL_TIMEOUT_NS = 4 * NS_PER_S  # a client that takes nothing for so long is given up
+LINGERING_CLOSE_NS = 100 * NS_PER_MS  # a client has so long to end a connection that was shut here
+BODY_READ_TIMEOUT_NS = 3 * NS_PER_S  # a body may pause for so long
+ACCEPT_RETRY_NS = 50 * NS_PER_MS
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -45,9 +45,9 @@
         self.scheduler = listener.scheduler
         self.sock = sock
         self.fd = sock.fileno()
-        self.reader = http.Reader(limit=listener.most_body, whole=listener.most_body)
-        self.left = False  # has the client gone?
-        self.broken = False  # must the client see that its answer broke off?
+        self.reader = http.Reader(limit=listener.max_body_bytes, whole=listener.max_body_bytes)
+        self.disconnected = False  # has the client gone?
+        self.reset_on_close = False  # must the client see that its answer broke off?
         self.task: Task | None = None
         self._watching = False
 
@@ -55,7 +55,7 @@
 
     def watch(self) -> None:
         """Notice from now on when the client leaves, and wake the connection's task then."""
-        if not self._watching and not self.left:
+        if not self._watching and not self.disconnected:
             self._watching = True
             self.scheduler.watch(self.fd, self._readable)
 
@@ -78,28 +78,28 @@
             return
         except OSError:
             pass
-        self.left = True
+        self.disconnected = True
         if self.task is not None:
             self.task.wake()
 
     def write(self, data: bytes) -> None:
         """Write it all; raises `ClientDisconnected` where the client takes nothing any more."""
-        if self.left:
+        if self.disconnected:
             raise ClientDisconnected
         try:
             send_all(self.sock, data, self._wait_writable)
         except OSError:
-            self.left = True
+            self.disconnected = True
             raise ClientDisconnected from None
 
     def _wait_writable(self) -> None:
         watching = self._watching
         self.unwatch()
-        self.scheduler.wait(self.fd, WRITE, clock() + STALL_NS)
+        self.scheduler.wait(self.fd, WRITE, clock() + WRITE_STALL_TIMEOUT_NS)
         if watching:
             self.watch()
 
-    def read(self, data: bytes) -> http.Message | None:
+    def feed(self, data: bytes) -> http.Message | None:
         """Feed bytes to the reader, answering `Expect: 100-continue`."""
         message = self.reader.feed(data)
         head = self.reader.head
@@ -113,7 +113,7 @@
         return message
 
 
-Exchange = Callable[[ClientConnection, http.Message, int], bool]
+ExchangeHandler = Callable[[ClientConnection, http.Message, int], bool]
 
 
 class ClientListener:
@@ -122,19 +122,21 @@
     Bounds: `most` connections; a request's head within `header_ns` of its first byte; `idle_ns` between requests.
     """
 
-    def __init__(self, scheduler: Scheduler, address: tuple[str, int], exchange: Exchange, most: int) -> None:
+    def __init__(
+        self, scheduler: Scheduler, address: tuple[str, int], exchange: ExchangeHandler, max_connections: int
+    ) -> None:
         """Raises `OSError` where the address cannot be had."""
         self.scheduler = scheduler
         self.exchange = exchange
-        self.most = most
-        self.most_body = 4 << 20
-        self.most_head = http.MAX_HEAD
-        self.header_ns = 3 * NS_PER_S
-        self.idle_ns = 15 * NS_PER_S
+        self.max_connections = max_connections
+        self.max_body_bytes = 4 << 20
+        self.max_head_bytes = http.MAX_HEAD
+        self.header_timeout_ns = 3 * NS_PER_S
+        self.idle_timeout_ns = 15 * NS_PER_S
         self.connections: set[ClientConnection] = set()
         self.closing = False  # connections end with the answer under way
         self.on_empty: Callable[[], None] | None = None
-        self._listener: socket.socket | None = listening(address, BACKLOG)
+        self._listener: socket.socket | None = listening(address, LISTEN_BACKLOG)
         self._accepting = False
         self._resume()
 
@@ -147,7 +149,7 @@
             self._listener.close()
             self._listener = None
 
-    def end_idle(self) -> None:
+    def close_idle(self) -> None:
         """Have connections end: the idle ones now, the others with their answer."""
         self.closing = True
         for client in list(self.connections):
@@ -155,7 +157,11 @@
                 client.task.wake()
 
     def _resume(self) -> None:
-        if not self._accepting and self._listener is not None and len(self.connections) < self.most:
+        if (
+            not self._accepting
+            and self._listener is not None
+            and len(self.connections) < self.max_connections
+        ):
             self._accepting = True
             self.scheduler.watch(self._listener.fileno(), self._accept)
 
@@ -164,8 +170,8 @@
         self.scheduler.unwatch(self._listener.fileno())
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
-            if len(self.connections) >= self.most:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if len(self.connections) >= self.max_connections:
                 self._pause()
                 return
             try:
@@ -175,7 +181,7 @@
             except OSError:
                 # No descriptor is left: an accept that fails at once would spin the loop.
                 self._pause()
-                self.scheduler.call_at(clock() + RETRY_ACCEPT_NS, self._resume)
+                self.scheduler.call_at(clock() + ACCEPT_RETRY_NS, self._resume)
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -185,13 +191,13 @@
 
     def _serve(self, client: ClientConnection) -> None:
         try:
-            self._converse(client)
-            self._part(client)
+            self._serve_requests(client)
+            self._close_gracefully(client)
         except (OSError, http.Truncated, ClientDisconnected, Cancelled):
             pass
         finally:
             client.unwatch()
-            if client.broken:
+            if client.reset_on_close:
                 with suppress(OSError):
                     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             client.sock.close()
@@ -200,11 +206,11 @@
             if not self.connections and self.on_empty is not None:
                 self.on_empty()
 
-    def _converse(self, client: ClientConnection) -> None:
+    def _serve_requests(self, client: ClientConnection) -> None:
         """Answer request after request until the connection is to end."""
         try:
             while True:
-                message = self._read(client)
+                message = self._read_request(client)
                 if message is None:
                     return
                 client.watch()
@@ -212,25 +218,25 @@
                     keep = self.exchange(client, message, clock())
                 finally:
                     client.unwatch()
-                if not keep or client.broken:
+                if not keep or client.reset_on_close:
                     return
-        except http.Malformed as fault:
-            client.write(http.response(fault.status, str(fault).encode() + b"\n", b"", close=True))
+        except http.Malformed as error:
+            client.write(http.response(error.status, str(error).encode() + b"\n", b"", close=True))
 
-    def _read(self, client: ClientConnection) -> http.Message | None:
+    def _read_request(self, client: ClientConnection) -> http.Message | None:
         """The next request; None where the connection is over."""
         reader = client.reader
         if reader.head is None:
-            reader.bound(self.most_body, self.most_head)
-        message = None if reader.empty else client.read(b"")
+            reader.bound(self.max_body_bytes, self.max_head_bytes)
+        message = None if reader.empty else client.feed(b"")
         began = None if reader.empty else clock()
-        idle_until = clock() + self.idle_ns
+        idle_until = clock() + self.idle_timeout_ns
         while message is None:
             if self.closing and reader.empty:
                 return None
-            deadline = idle_until if began is None else began + self.header_ns
+            deadline = idle_until if began is None else began + self.header_timeout_ns
             if reader.head is not None:
-                deadline = clock() + BODY_PAUSE_NS
+                deadline = clock() + BODY_READ_TIMEOUT_NS
             try:
                 self.scheduler.wait(client.fd, READ, deadline)
             except TimeoutError:
@@ -238,26 +244,28 @@
                     return None
                 raise http.Malformed(408, "the request did not become whole in time") from None
             try:
-                data = client.sock.recv(RECEIVE)
+                data = client.sock.recv(RECEIVE_BYTES)
             except BlockingIOError:
                 continue
             if not data:
-                client.left = True
+                client.disconnected = True
                 return None
             if began is None:
                 began = clock()
-                reader.bound(self.most_body, self.most_head)  # a configuration may have come meanwhile
-            message = client.read(data)
+                reader.bound(
+                    self.max_body_bytes, self.max_head_bytes
+                )  # a configuration may have come meanwhile
+            message = client.feed(data)
         return message
 
-    def _part(self, client: ClientConnection) -> None:
+    def _close_gracefully(self, client: ClientConnection) -> None:
         """Shut the sending side, read and drop to the end or a bound, close: a close over unread bytes would reset."""
-        if client.left or client.broken:
+        if client.disconnected or client.reset_on_close:
             return
         client.sock.shutdown(socket.SHUT_WR)
-        deadline = clock() + PART_NS
+        deadline = clock() + LINGERING_CLOSE_NS
         while True:
             self.scheduler.wait(client.fd, READ, deadline)
             with suppress(BlockingIOError):
-                if not client.sock.recv(RECEIVE):
+                if not client.sock.recv(RECEIVE_BYTES):
                     return
--- a/iristrack/dataplane/control_link.py
+++ b/iristrack/dataplane/control_link.py
@@ -45,21 +45,27 @@
 from iristrack.wire.values import decode_value
 
 NS_PER_MS = 1_000_000
-SIDECARS_PER_HEARTBEAT = 24  # so many more sidecars add the first interval once more
-LONGEST_HEARTBEAT_NS = 1000 * NS_PER_MS  # a change that the hub did not push is heard of within it
-TELL_AGES_NS = (
-    2 * LONGEST_HEARTBEAT_NS
+SIDECARS_PER_HEARTBEAT_STEP = 24  # so many more sidecars add the first interval once more
+MAX_HEARTBEAT_INTERVAL_NS = 1000 * NS_PER_MS  # a change that the hub did not push is heard of within it
+SEND_AGES_NS = (
+    2 * MAX_HEARTBEAT_INTERVAL_NS
 )  # so long heartbeats bear the ages of named weights, once a member lacks them
-LEASE_TICK_NS = 100 * NS_PER_MS  # how often it is looked whether the lease of keys is to be renewed
-EVIDENCE_NS = 250 * NS_PER_MS  # between two reports of how requests under roll-outs end
-BUSY_NS = 3000 * NS_PER_MS  # a server that takes new weights is left alone for so long unless told otherwise
+LEASE_CHECK_INTERVAL_NS = 100 * NS_PER_MS  # how often it is looked whether the lease of keys is to be renewed
+EVIDENCE_INTERVAL_NS = 250 * NS_PER_MS  # between two reports of how requests under roll-outs end
+BUSY_TIMEOUT_NS = (
+    3000 * NS_PER_MS
+)  # a server that takes new weights is left alone for so long unless decoded otherwise
 
 
 class ControlLink:
     """Connections to the core, and what their updates change here."""
 
     def __init__(
-        self, plane: PlaneState, servers: ServerListFollower, log, open_one: OpenConnection | None = None
+        self,
+        plane: PlaneState,
+        servers: ServerListFollower,
+        log,
+        open_connection: OpenConnection | None = None,
     ) -> None:
         """Dials the seeds at once; `open_one` opens connections, over TCP where it is None."""
         self.plane = plane
@@ -67,19 +73,19 @@
         self.topics = TopicTable()
         self.catch_up = CatchUp()
         self.process = secrets.token_hex(6)
-        self.heartbeats = 0
-        self._tells_ages_until = 0  # ns
-        self.core = CoreView(plane.settings.zone, topics.CONFIGURATION)
+        self.heartbeat_count = 0
+        self._send_ages_until = 0  # ns
+        self.core_view = CoreView(plane.settings.zone, topics.CONFIGURATION)
         self._hub: PeerConnection | None = None
-        self._ask_timer: Timer | None = None
+        self._request_timer: Timer | None = None
         self.on_configuration: Callable[[], None] = lambda: None
-        self.loads = LoadReporter(plane, self)
+        self.load_reporter = LoadReporter(plane, self)
         self._sequence = -1  # of the configuration in force
         self._busy: set[str] = set()
-        self._told_rollouts: dict[str, tuple[str, int]] = {}  # phase and share, for the log
+        self._logged_rollouts: dict[str, tuple[str, int]] = {}  # phase and share, for the log
         self._evidence_timer: Timer | None = None
-        self._evidence_count = 0
-        self._evidence_told = 0  # answers that were counted when evidence was told last
+        self._evidence_number = 0
+        self._evidence_reported = 0  # answers that were counted when evidence was decoded last
         self._handlers: dict[str, Callable[[bytes], None]] = {
             topics.CONFIGURATION: self._on_configuration,
             topics.VERSIONS: self._on_versions,
@@ -95,12 +101,12 @@
             self._subscribe,
             self._on_message,
             self._heartbeat_interval,
-            open_one,
+            open_connection,
         )
-        self.follow_seeds()
-        plane.scheduler.call_at(plane.scheduler.now() + LEASE_TICK_NS, self._renew_key_lease)
+        self.dial_members()
+        plane.scheduler.call_at(plane.scheduler.now() + LEASE_CHECK_INTERVAL_NS, self._check_key_lease)
 
-    def follow_seeds(self) -> None:
+    def dial_members(self) -> None:
         """Dial the members that are known, and the seeds of the settings."""
         settings = self.plane.settings
         self.plane.key_lease.set_duration(settings.rule_bounds.key_lease_ms)
@@ -110,15 +116,15 @@
     def _members(self) -> tuple[str, ...]:
         """The inner addresses of the newest known member set; empty while none is known."""
         update = self.topics.get(topics.MEMBERS)
-        told = decode_value(update.value, MembersValue) if update is not None else None
-        return () if told is None else told.members
+        decoded = decode_value(update.value, MembersValue) if update is not None else None
+        return () if decoded is None else decoded.members
 
     @property
     def configuration_confirmed(self) -> bool:
-        """Is no configuration newer than the one in force, as a majority of the core has told?"""
+        """Is no configuration newer than the one in force, as a majority of the core has decoded?"""
         update = self.topics.get(topics.CONFIGURATION)
         members = self._members() or tuple(self.dialers.dialers)
-        return update is not None and self.core.is_confirmed(update.sequence, members)
+        return update is not None and self.core_view.is_confirmed(update.sequence, members)
 
     def _hello(self) -> Hello:
         settings = self.plane.settings
@@ -127,25 +133,28 @@
         )
 
     def _heartbeat(self) -> Heartbeat:
-        self.heartbeats += 1
+        self.heartbeat_count += 1
         now = self.plane.scheduler.now()
-        ages = self.plane.named_weights.ages(now) if now < self._tells_ages_until else ()
+        ages = self.plane.named_weights.ages(now) if now < self._send_ages_until else ()
         node = self.plane.settings.node_name
-        return Heartbeat(node, self.process, self.heartbeats, self.topics.versions(), named=ages)
+        return Heartbeat(node, self.process, self.heartbeat_count, self.topics.versions(), named=ages)
 
     def _heartbeat_interval(self, connection: PeerConnection) -> int:
         """The hub is asked often; the others, which only show what was missed, more rarely in a large fleet."""
         if connection is self._hub:
             return HEARTBEAT_NS
-        return min(LONGEST_HEARTBEAT_NS, HEARTBEAT_NS * (1 + self.plane.sidecars // SIDECARS_PER_HEARTBEAT))
+        return min(
+            MAX_HEARTBEAT_INTERVAL_NS,
+            HEARTBEAT_NS * (1 + self.plane.sidecar_count // SIDECARS_PER_HEARTBEAT_STEP),
+        )
 
     def _subscribe(self, connection: PeerConnection) -> None:
         """Have the hub push what is missed and what changes; the others announce it, and send what is asked for."""
-        push = connection is self.core.choose_hub()
+        push = connection is self.core_view.choose_hub()
         connection.send(Subscribe(self.topics.versions(), push, catch_up=push))
 
     def _choose_hub(self) -> None:
-        hub = self.core.choose_hub()
+        hub = self.core_view.choose_hub()
         if hub is not self._hub:
             before, self._hub = self._hub, hub
             for connection in (before, hub):
@@ -155,70 +164,70 @@
                 before.send(KeptSubscribe(own_only=False, ends=True))
             if hub is not None:
                 hub.send(KeptSubscribe(own_only=False))
-                self._ask_for_key_lease()
+                self._request_key_lease()
 
     def _on_message(self, connection: PeerConnection, message: Message) -> None:
         if isinstance(message, Update) and self.topics.learn(message):
             handler = self._handlers.get(message.topic)
             if handler is not None:
                 handler(message.value)
-                self.plane.startup_gate.look()
+                self.plane.startup_gate.open_if_ready()
         elif isinstance(message, ConfigurationAmendment):
             self._on_amendment(message)
         elif isinstance(message, KeyLeaseGrant):
             self.plane.key_lease.handle_grant(message.number, message.sequence)
-            self.plane.startup_gate.look()
+            self.plane.startup_gate.open_if_ready()
         elif isinstance(message, ServerLoads):
             if connection is self._hub:
-                self.loads.on_others(message)
+                self.load_reporter.on_total(message)
         elif isinstance(message, KeptBatch):
             if connection is self._hub:
-                self._on_kept(message)
+                self._on_kept_prompts(message)
         elif isinstance(message, Heartbeat):
             self._on_heartbeat(connection, message)
         elif isinstance(message, Hello):
-            self.core.met(connection, message)
+            self.core_view.add_member(connection, message)
             self._choose_hub()
 
     def _on_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
         """A member tells how new its topics are: what the hub does not push in time is asked for."""
-        self.core.heard(connection, message)
-        if message.in_quorum and self._knows_rollouts_of(message):
+        self.core_view.update_member(connection, message)
+        if message.in_quorum and self._has_rollouts_of(message):
             self.plane.rollouts.renew_lease(self.plane.scheduler.now())
         self._on_named_ages(message.named)
-        self._look_who_knows_ages(message)
+        self._check_sender_ages(message)
         self._choose_hub()
         if connection is not self._hub:
             self.catch_up.record_versions(
                 connection, self.topics.versions(), message.known, self.plane.scheduler.now()
             )
-            self._set_ask_timer()
+            self._set_request_timer()
 
-    def _ask(self) -> None:
+    def _request_missing(self) -> None:
         """Ask the members whose turn it is for what is missing here."""
-        self._ask_timer = None
+        self._request_timer = None
         known = self.topics.versions()
         for connection in self.catch_up.take_due(known, self.plane.scheduler.now()):
             if connection.closed:
                 self.catch_up.source_lost(connection)
             elif connection is not self._hub:  # the hub sends what it has by itself
                 connection.send(Subscribe(known, push=False))
-        self._set_ask_timer()
+        self._set_request_timer()
 
-    def _set_ask_timer(self) -> None:
+    def _set_request_timer(self) -> None:
         due = self.catch_up.next_due()
-        if self._ask_timer is None and due is not None:
-            self._ask_timer = self.plane.scheduler.call_at(due, self._ask)
+        if self._request_timer is None and due is not None:
+            self._request_timer = self.plane.scheduler.call_at(due, self._request_missing)
 
     def hub(self) -> PeerConnection | None:
         """The core member that pushes changes here and sums loads, None while there is none."""
-        return self.core.choose_hub()
+        return self.core_view.choose_hub()
 
     def _on_configuration(self, value: bytes) -> None:
-        told = decode_value(value, ConfigurationValue)
-        if told is None or not told.body:
+        decoded = decode_value(value, ConfigurationValue)
+        if decoded is None or not decoded.body:
             return
-        self._put_in_force(ActiveConfiguration(parse_configuration(told.body)), told.sequence)
+        self._activate(ActiveConfiguration(parse_configuration(decoded.body)), decoded.sequence)
 
     def _on_amendment(self, message: ConfigurationAmendment) -> None:
         """Amend the configuration in force; where it is not the one before, the whole comes from another member."""
@@ -226,9 +235,9 @@
             return
         active = self.plane.active.amended(parse_amendment(message.body))
         self.topics.learn(Update(topics.CONFIGURATION, message.sequence, b""))
-        self._put_in_force(active, message.sequence)
+        self._activate(active, message.sequence)
 
-    def _put_in_force(self, active: ActiveConfiguration, sequence: int) -> None:
+    def _activate(self, active: ActiveConfiguration, sequence: int) -> None:
         self.plane.active = active
         self._sequence = sequence
         self.plane.key_lease.set_applied_sequence(sequence)
@@ -237,19 +246,19 @@
 
     # ---- the lease under which keys are honoured
 
-    def _renew_key_lease(self) -> None:
+    def _check_key_lease(self) -> None:
         now = self.plane.scheduler.now()
         if self.plane.key_lease.should_request(now):
-            self._ask_for_key_lease()
-        self.plane.scheduler.call_at(now + LEASE_TICK_NS, self._renew_key_lease)
+            self._request_key_lease()
+        self.plane.scheduler.call_at(now + LEASE_CHECK_INTERVAL_NS, self._check_key_lease)
 
-    def _ask_for_key_lease(self) -> None:
+    def _request_key_lease(self) -> None:
         """Ask the hub, and where it has not answered the last time, every member."""
         lease = self.plane.key_lease
         if not lease.needed:
             return
-        hub = self.core.choose_hub()
-        asked = [hub] if hub is not None and not lease.has_pending_request else list(self.core.members)
+        hub = self.core_view.choose_hub()
+        asked = [hub] if hub is not None and not lease.has_pending_request else list(self.core_view.members)
         request = KeyLeaseRequest(lease.record_request(self.plane.scheduler.now()))
         for connection in asked:
             if not connection.closed:
@@ -258,13 +267,13 @@
     # ---- roll-outs
 
     def _on_rollouts(self, value: bytes) -> None:
-        told = decode_value(value, RolloutsValue)
-        if told is None:
+        decoded = decode_value(value, RolloutsValue)
+        if decoded is None:
             return
-        self.plane.rollouts.apply_states(told.rollouts)
-        for state in told.rollouts:
-            if (state.phase, state.share) != self._told_rollouts.get(state.service):
-                self._told_rollouts[state.service] = (state.phase, state.share)
+        self.plane.rollouts.apply_states(decoded.rollouts)
+        for state in decoded.rollouts:
+            if (state.phase, state.share) != self._logged_rollouts.get(state.service):
+                self._logged_rollouts[state.service] = (state.phase, state.share)
                 self.log.info(
                     "rollout",
                     service=state.service,
@@ -272,41 +281,43 @@
                     phase=state.phase,
                     share=state.share,
                 )
-        self._tell_evidence()
+        self._schedule_evidence()
 
-    def _knows_rollouts_of(self, message: Heartbeat) -> bool:
+    def _has_rollouts_of(self, message: Heartbeat) -> bool:
         """Does the sender know no newer states of the roll-outs than are followed here?"""
         known = self.topics.get(topics.ROLLOUTS)
         sequence = -1 if known is None else known.sequence
         return all(v.sequence <= sequence for v in message.known if v.topic == topics.ROLLOUTS)
 
-    def _tell_evidence(self) -> None:
+    def _schedule_evidence(self) -> None:
         """Tell every core member how requests under roll-outs have ended, a few times a second while any runs."""
         rollouts = self.plane.rollouts
         if not rollouts.running:
             return
         now = self.plane.scheduler.now()
         if self._evidence_timer is None:
-            self._evidence_timer = self.plane.scheduler.call_at(now + EVIDENCE_NS, self._evidence_due)
+            self._evidence_timer = self.plane.scheduler.call_at(
+                now + EVIDENCE_INTERVAL_NS, self._send_evidence
+            )
 
-    def _evidence_due(self) -> None:
+    def _send_evidence(self) -> None:
         self._evidence_timer = None
         rollouts = self.plane.rollouts
-        if rollouts.counted != self._evidence_told:
-            self._evidence_told = rollouts.counted
-            self._evidence_count += 1
-            evidence = RolloutEvidence(self.process, self._evidence_count, rollouts.counts())
-            for connection in list(self.core.members):
+        if rollouts.counted != self._evidence_reported:
+            self._evidence_reported = rollouts.counted
+            self._evidence_number += 1
+            evidence = RolloutEvidence(self.process, self._evidence_number, rollouts.counts())
+            for connection in list(self.core_view.members):
                 if not connection.closed:
                     connection.send(evidence)
-        self._tell_evidence()
+        self._schedule_evidence()
 
     def _on_versions(self, value: bytes) -> None:
-        told = decode_value(value, VersionsValue)
-        if told is None:
+        decoded = decode_value(value, VersionsValue)
+        if decoded is None:
             return
         now = self.plane.scheduler.now()
-        for version in told.versions:
+        for version in decoded.versions:
             if self.plane.named_weights.learn(version.model, version.revision, now):
                 self.log.info("weights named", model=version.model, revision=version.revision)
 
@@ -321,7 +332,7 @@
             if required > before[model]:
                 self.log.info("weights required", model=model, revision=required)
 
-    def _look_who_knows_ages(self, message: Heartbeat) -> None:
+    def _check_sender_ages(self, message: Heartbeat) -> None:
         """Tell with the next heartbeats how long ago weights were named, where a core member has forgotten it.
 
         All of the core may have begun anew. The ages go with heartbeats that are sent anyway: an answer of its own to
@@ -329,31 +340,31 @@
         """
         now = self.plane.scheduler.now()
         if self.plane.named_weights.knows_earlier(message.named, now):
-            self._tells_ages_until = now + TELL_AGES_NS
+            self._send_ages_until = now + SEND_AGES_NS
 
-    def _on_kept(self, batch: KeptBatch) -> None:
+    def _on_kept_prompts(self, batch: KeptBatch) -> None:
         now = self.plane.scheduler.now()
         for change in batch.entries:
             self.plane.index.apply_change(change, now)
 
     def _on_members(self, value: bytes) -> None:
-        self.follow_seeds()
+        self.dial_members()
 
     def _on_busy_servers(self, value: bytes) -> None:
         """Leave servers alone that take new weights; those that were named before are back."""
-        told = decode_value(value, BusyServers)
-        if told is None:
+        decoded = decode_value(value, BusyServers)
+        if decoded is None:
             return
-        for taken in told.taken:
+        for taken in decoded.taken:
             server = self.plane.servers.servers.get(taken.instance)
             if server is not None:
                 server.record_revision(taken.model, taken.revision)
         now = self.plane.scheduler.now()
-        busy = set(told.instances)
+        busy = set(decoded.instances)
         for instance in busy | self._busy:
             server = self.plane.servers.servers.get(instance)
             if server is not None:
-                server.mark_busy(instance in busy, now + BUSY_NS)
+                server.mark_busy(instance in busy, now + BUSY_TIMEOUT_NS)
         self._busy = busy
         for server in self.plane.servers.servers.values():
-            server.preparing = server.instance_id in told.preparing
+            server.preparing = server.instance_id in decoded.preparing
--- a/iristrack/dataplane/core_view.py
+++ b/iristrack/dataplane/core_view.py
@@ -34,14 +34,16 @@
         self.topic = topic
         self.hub: PeerConnection | None = None
         self.members: dict[PeerConnection, CoreMember] = {}
-        self._newest = -1  # the highest sequence of the topic that any member told
-        self._confirming: set[str] = set()  # addresses of those that told one while they reached a quorum
+        self._newest_sequence = -1  # the highest sequence of the topic that any member told
+        self._confirming_addresses: set[str] = (
+            set()
+        )  # addresses of those that told one while they reached a quorum
 
-    def met(self, connection: PeerConnection, hello: Hello) -> None:
+    def add_member(self, connection: PeerConnection, hello: Hello) -> None:
         """A member said who it is."""
         self.members[connection] = CoreMember(hello.zone, hello.address)
 
-    def heard(self, connection: PeerConnection, heartbeat: Heartbeat) -> None:
+    def update_member(self, connection: PeerConnection, heartbeat: Heartbeat) -> None:
         """A member told how new its topics are, all or some, and whether it reaches a quorum."""
         member = self.members.get(connection)
         if member is None:
@@ -49,9 +51,9 @@
         member.in_quorum = heartbeat.in_quorum
         for version in heartbeat.known:
             if version.topic == self.topic:
-                self._newest = max(version.sequence, self._newest)
+                self._newest_sequence = max(version.sequence, self._newest_sequence)
                 if heartbeat.in_quorum:
-                    self._confirming.add(member.address)
+                    self._confirming_addresses.add(member.address)
 
     def choose_hub(self) -> PeerConnection | None:
         """The hub from now on: the present one, unless another is better."""
@@ -64,8 +66,8 @@
 
     def is_confirmed(self, sequence: int, members: Collection[str]) -> bool:
         """Has a majority of `members` told versions, and nobody one above `sequence`?"""
-        told = sum(address in self._confirming for address in members)
-        return told >= len(members) // 2 + 1 and self._newest <= sequence
+        told = sum(address in self._confirming_addresses for address in members)
+        return told >= len(members) // 2 + 1 and self._newest_sequence <= sequence
 
     def _rank(self, connection: PeerConnection) -> tuple[bool, bool]:
         member = self.members[connection]
--- a/iristrack/dataplane/discovery.py
+++ b/iristrack/dataplane/discovery.py
@@ -15,10 +15,10 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-POLL_NS = NS_PER_S
-SILENT_NS = 4 * NS_PER_S  # the core tells the list again every two seconds
-CALL_NS = 800 * NS_PER_MS
-FORGET_LINKS_NS = 5 * NS_PER_S
+POLL_INTERVAL_NS = NS_PER_S
+CORE_SILENCE_NS = 4 * NS_PER_S  # the core tells the list again every two seconds
+FETCH_TIMEOUT_NS = 800 * NS_PER_MS
+FORGET_LINKS_AFTER_NS = 5 * NS_PER_S
 
 
 def split_address(text: str) -> tuple[str, int]:
@@ -27,7 +27,7 @@
     return host, int(port)
 
 
-def apply_list(plane: PlaneState, entries: list[ListedServer]) -> None:
+def apply_server_list(plane: PlaneState, entries: list[ListedServer]) -> None:
     """Follow a whole list: the table of servers, and the connections to them."""
     for server in plane.servers.apply_server_list(entries):
         plane.index.forget(server.address)
@@ -42,7 +42,7 @@
         for e in entries
     ]
     plane.links.follow(followed, whole=True)
-    plane.links.forget_gone(FORGET_LINKS_NS)
+    plane.links.forget_gone(FORGET_LINKS_AFTER_NS)
 
 
 class ServerListFollower:
@@ -51,24 +51,24 @@
     def __init__(self, plane: PlaneState) -> None:
         """Starts with the first turn of the loop."""
         self.plane = plane
-        self._heard_at = clock()
+        self._last_core_list_at = clock()
         provider = plane.settings.provider_api
         if provider is not None:
             self.caller = Caller(plane.scheduler, (provider.address.host, provider.address.port))
-            plane.scheduler.spawn("list poller", self._run)
+            plane.scheduler.spawn("list poller", self._poll)
 
     def on_update(self, value: bytes) -> None:
         """The core handed a list on."""
-        told = decode_value(value, ServersValue)
-        if told is not None:
-            self._heard_at = clock()
-            apply_list(self.plane, from_message(told))
+        decoded = decode_value(value, ServersValue)
+        if decoded is not None:
+            self._last_core_list_at = clock()
+            apply_server_list(self.plane, from_message(decoded))
 
-    def _run(self) -> None:
+    def _poll(self) -> None:
         while True:
-            self.plane.scheduler.sleep(POLL_NS)
-            if clock() - self._heard_at < SILENT_NS:
+            self.plane.scheduler.sleep(POLL_INTERVAL_NS)
+            if clock() - self._last_core_list_at < CORE_SILENCE_NS:
                 continue
             with suppress(ListUnavailable, ValueError):  # the last list stands; the next call is soon
-                apply_list(self.plane, fetch_list(self.caller, clock() + CALL_NS))
-                self.plane.startup_gate.look()
+                apply_server_list(self.plane, fetch_list(self.caller, clock() + FETCH_TIMEOUT_NS))
+                self.plane.startup_gate.open_if_ready()
--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -18,9 +18,9 @@
 from iristrack.dataplane.clients import ClientConnection, ClientDisconnected
 from iristrack.dataplane.events import Event, EventSplitter, EventTooLarge
 from iristrack.dataplane.lateness import RequestTiming
-from iristrack.dataplane.older_weights import Begun
+from iristrack.dataplane.older_weights import BegunRequest
 from iristrack.dataplane.prompt_parts import CacheUse, PromptParts
-from iristrack.dataplane.requests import ClientRequest, Rejected, read_request, wait_ms
+from iristrack.dataplane.requests import ClientRequest, Rejected, client_timeout_ms, read_request
 from iristrack.dataplane.state import PlaneState
 from iristrack.http1 import messages as http
 from iristrack.http1.messages import header_text
@@ -31,12 +31,12 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-RETRY_AFTER_S = 0.4  # told to a client whose request has not run
+RETRY_AFTER_S = 0.4  # told_revision to a client whose request has not run
 RETRY_AFTER_LINE = b"Retry-After: %.3f\r\n" % RETRY_AFTER_S
-SILENT_NS = 1500 * NS_PER_MS  # without a word from a server, at the end of which it counts as failed
-LEAST_LEFT_NS = 20 * NS_PER_MS  # with less time left nothing is sent any more
-SHORT_OUTPUT_TOKENS = 32  # an answer of so many tokens is done soon
-WHOLE_ANSWER = 256 * 1024  # a longer one is passed on in pieces
+SERVER_SILENCE_NS = 1500 * NS_PER_MS  # without a word from a server, at the end of which it counts as failed
+MIN_TIME_LEFT_NS = 20 * NS_PER_MS  # with less time left nothing is sent any more
+MAX_SHORT_OUTPUT_TOKENS = 32  # an answer of so many tokens is done soon
+MAX_BUFFERED_BODY_BYTES = 256 * 1024  # a longer one is passed on in pieces
 
 
 class Exchange:
@@ -49,19 +49,19 @@
         self.plane = plane
         self.client = client
         self.request = request
-        self.answer = ClientResponse(client, keep, request.version)
-        self.tried: list[Server] = []  # servers to which it was sent
-        self.failed_at: set[str] = set()
+        self.response = ClientResponse(client, keep, request.version)
+        self.tried_servers: list[Server] = []  # servers to which it was sent
+        self.excluded_instances: set[str] = set()
         self.may_have_run = False
         self.last_event_id = request.last_event_id
-        self.ends_unnamed = False  # did the last piece that was passed on bear no id?
-        self.service = self._draw_service()
+        self.resume_point_lost = False  # did the last piece that was passed on bear no id?
+        self.service = self._pick_service()
         self.prompt = PromptParts(plane, request, self.service)
-        self.timing = RequestTiming(request.arrived, clock())
-        self._loads_canary = False  # was the attempt sent while a new version's servers are kept busy?
+        self.timing = RequestTiming(request.arrived_at, clock())
+        self._canary_loaded = False  # was the attempt sent while a new version's servers are kept busy?
         self._unread: int = 0  # pieces that the attempt's server still has to read
 
-    def _draw_service(self) -> str:
+    def _pick_service(self) -> str:
         targets = self.request.route.targets
         if len(targets) == 1:
             return targets[0].target
@@ -73,15 +73,15 @@
         """Answer the request, whatever happens."""
         counters = self.plane.counters
         counters.requests += 1
-        self.plane.budget(self.service).earn()
+        self.plane.retry_budget(self.service).earn()
         try:
             self._run()
         except ClientDisconnected:
             counters.client_left += 1
-            self.client.left = True
+            self.client.disconnected = True
         except DeadlinePassed:
             counters.failed += 1
-            self._fail(504, b"the time is over\n")
+            self._send_error(504, b"the time is over\n")
 
     def _run(self) -> None:
         while True:
@@ -89,25 +89,25 @@
             if server is None:
                 self._give_up()
                 return
-            if self._try(server):
+            if self._attempt(server):
                 self.plane.counters.served += 1
-                self.plane.late.count(self.timing.reason(self.request.route))
+                self.plane.late_counts.count(self.timing.reason(self.request.route))
                 return
 
     def _next_server(self) -> Server | None:
         """The server for the next attempt; None where there is none, or it may not be sent again."""
         now = clock()
-        self.prompt.look_again()
+        self.prompt.clear_lookups()
         if self.may_have_run and not self.request.idempotent:
             return None
-        if self.ends_unnamed:
+        if self.resume_point_lost:
             return None  # another server would begin before that piece
-        if self.request.hold_until - now < LEAST_LEFT_NS or not self._may_send():
+        if self.request.attempt_deadline - now < MIN_TIME_LEFT_NS or not self._may_send():
             return None
-        if len(self.tried) >= self.request.route.max_tries:
+        if len(self.tried_servers) >= self.request.route.max_tries:
             return None
-        server = self._choose(now)
-        if server is not None and self.tried and not self.plane.budget(self.service).spend():
+        server = self._choose_server(now)
+        if server is not None and self.tried_servers and not self.plane.retry_budget(self.service).spend():
             return None
         return server
 
@@ -116,61 +116,61 @@
         return not self.request.needs_key or self.plane.key_lease.is_valid(clock())
 
     def _give_up(self) -> None:
-        if self.answer.begun:
-            self.answer.break_off()
+        if self.response.begun:
+            self.response.abort()
         elif self.may_have_run:
             self.plane.counters.failed += 1
-            self._fail(502, b"the server broke off\n")
+            self._send_error(502, b"the server broke off\n")
         else:
             self.plane.counters.refused += 1
-            self.answer.whole(503, b"not run: no server can take it now\n", RETRY_AFTER_LINE)
+            self.response.send(503, b"not run: no server can take it now\n", RETRY_AFTER_LINE)
 
-    def _fail(self, status: int, body: bytes) -> None:
-        if self.answer.begun:
-            self.answer.break_off()
+    def _send_error(self, status: int, body: bytes) -> None:
+        if self.response.begun:
+            self.response.abort()
         else:
-            self.answer.whole(status, body, b"")
+            self.response.send(status, body, b"")
 
     # ---- which server
 
-    def _choose(self, now: int) -> Server | None:
-        every = self.plane.servers.of_service(self.service)
+    def _choose_server(self, now: int) -> Server | None:
+        all_servers = self.plane.servers.of_service(self.service)
         listed = self.plane.rollouts.allowed_servers(
-            self.service, every, bool(self.tried), now, self.plane.rng
+            self.service, all_servers, bool(self.tried_servers), now, self.plane.rng
         )
-        usable = [s for s in listed if s.usable(now) and s.instance_id not in self.failed_at]
+        usable = [s for s in listed if s.usable(now) and s.instance_id not in self.excluded_instances]
         usable = [s for s in usable if not s.ejected] or usable
         model = self.request.model
         if model is not None:
             usable = servers_with_model(usable, model, self.plane.required_revision(model, now))
-        if self.request.output_tokens > SHORT_OUTPUT_TOKENS:
+        if self.request.output_tokens > MAX_SHORT_OUTPUT_TOKENS:
             usable = [s for s in usable if not s.preparing] or usable
-        return choose_server(usable, self.request.key, self.prompt.at, self.plane.rng)
+        return choose_server(usable, self.request.key, self.prompt.prompt_for, self.plane.rng)
 
     # ---- one attempt
 
-    def _try(self, server: Server) -> bool:
+    def _attempt(self, server: Server) -> bool:
         """Send it to a server and pass the answer on; false where another server may be asked."""
         plane, request = self.plane, self.request
-        attempt = Attempt(plane.scheduler, plane.links, server, self.client, request.hold_until)
-        if self.tried:
+        attempt = Attempt(plane.scheduler, plane.links, server, self.client, request.attempt_deadline)
+        if self.tried_servers:
             plane.counters.retries += 1
         cache = self.prompt.cache_use(server)
         if cache is not None:
             attempt.begin_by = partial(plane.begin_by, request.model, cache.revision)
         began = clock()
-        self._loads_canary = plane.rollouts.is_canary_loaded(self.service)
-        self._unread = chunks_to_prefill(self.prompt.at(server))
+        self._canary_loaded = plane.rollouts.is_canary_loaded(self.service)
+        self._unread = chunks_to_prefill(self.prompt.prompt_for(server))
         fetches = cache is not None and cache.fetch_from is not None
-        self.timing.sent(began, self._unread, server.load, fetches)
+        self.timing.record_sent(began, self._unread, server.load, fetches)
         server.began(self._unread)
-        self.prompt.begin_read(server)
+        self.prompt.begin_prompt_read(server)
         try:
-            attempt.send(self._encode(server, cache), partial(self._may_begin, cache))
-            return self._take_answer(attempt, server, cache)
+            attempt.send(self._encode_request(server, cache), partial(self._may_send_to, cache))
+            return self._handle_response(attempt, server, cache)
         except NotBegunInTime:
-            self.plane.older_weights.taken_back_count += 1
-            self.failed_at.add(server.instance_id)
+            self.plane.older_weights.cancelled_count += 1
+            self.excluded_instances.add(server.instance_id)
             self.may_have_run = True
             return False
         except AttemptFailed as failure:
@@ -179,45 +179,45 @@
         except SendForbidden:
             return False
         except (ClientDisconnected, DeadlinePassed):
-            if attempt.head is None and clock() - began > SILENT_NS:
+            if attempt.head is None and clock() - began > SERVER_SILENCE_NS:
                 server.failed(clock())  # it said nothing for so long that the client has given up
                 self.plane.rollouts.failed(server, request.route.label)
             raise
-        except (EventTooLarge, http.Malformed) as fault:
-            self._note_failure(server, AttemptFailed(str(fault), ran=True))
+        except (EventTooLarge, http.Malformed) as error:
+            self._note_failure(server, AttemptFailed(str(error), may_have_run=True))
             return False
         finally:
             if attempt.written:
-                self.tried.append(server)
-            self._has_read(server)
+                self.tried_servers.append(server)
+            self._note_prompt_read(server)
             if cache is not None:
-                self.prompt.end_read(server, cache.salt)
+                self.prompt.end_prompt_read(server, cache.salt)
             server.ended()
             attempt.close()
 
-    def _may_begin(self, cache: CacheUse | None) -> bool:
+    def _may_send_to(self, cache: CacheUse | None) -> bool:
         """May it be sent now, to a server on the weights that it expects?"""
         if not self._may_send():
             return False
         return cache is None or cache.revision >= self.plane.required_revision(self.request.model, clock())
 
-    def _has_read(self, server: Server) -> None:
+    def _note_prompt_read(self, server: Server) -> None:
         """The prompt is read, or the attempt is over."""
         server.prefill_finished(self._unread)
         self._unread = 0
 
     def _note_failure(self, server: Server, failure: AttemptFailed) -> None:
         self.plane.rollouts.failed(server, self.request.route.label)
-        self.failed_at.add(server.instance_id)
-        self.may_have_run = self.may_have_run or failure.ran
+        self.excluded_instances.add(server.instance_id)
+        self.may_have_run = self.may_have_run or failure.may_have_run
         server.failed(clock())
         self.plane.links.close_idle(server.instance_id)
 
-    def _encode(self, server: Server, cache: CacheUse | None) -> bytes:
+    def _encode_request(self, server: Server, cache: CacheUse | None) -> bytes:
         request = self.request
-        left_ms = max(1, (request.hold_until - clock()) // NS_PER_MS)
+        left_ms = max(1, (request.attempt_deadline - clock()) // NS_PER_MS)
         parts = [
-            request.lines,
+            request.header_lines,
             b"X-Iristrack-Time-Left-Ms: %d\r\n" % left_ms,
             b"X-Iristrack-Expect-Instance: %b\r\n" % server.instance_id.encode("latin-1"),
             b"Priority: %d\r\n" % max(0, min(9, request.priority)),
@@ -230,46 +230,46 @@
             parts.append(cache.header_lines())
         return http.request(request.method, request.target, b"".join(parts), request.body)
 
-    def _take_answer(self, attempt: Attempt, server: Server, cache: CacheUse | None) -> bool:
+    def _handle_response(self, attempt: Attempt, server: Server, cache: CacheUse | None) -> bool:
         request = self.request
         head = attempt.read_head(request.attempt_id)
         said = classify_response(head)
         if said is ResponseClass.NOT_EXECUTED:
-            self._drop_rest(attempt)
+            self._discard_body(attempt)
             self._note_rejection(server, head)
             return False
         if said is ResponseClass.UNKNOWN:
-            raise AttemptFailed(f"status {head.status} without a promise or a seal", ran=True)
+            raise AttemptFailed(f"status {head.status} without a promise or a seal", may_have_run=True)
         if request.model is not None and cache is not None:
-            self.plane.older_weights.begun(
-                Begun(server.instance_id, request.model, cache.revision, attempt.sent_at, clock())
+            self.plane.older_weights.record_begun(
+                BegunRequest(server.instance_id, request.model, cache.revision, attempt.sent_at, clock())
             )
         self._learn_revision(server, head)
         if said is ResponseClass.FAILURE:
             if head.status >= 500:
                 server.outcomes.failed(clock())
                 self.plane.rollouts.failed(server, request.route.label)
-            self._pass_whole(attempt)
+            self._forward_body(attempt)
             return True
         if request.model is not None and cache is not None and request.parts:
             self.plane.index.record_sent(server.address, cache.salt, request.model, request.parts, clock())
-            self.prompt.end_read(server, cache.salt)
+            self.prompt.end_prompt_read(server, cache.salt)
         if request.streaming:
-            self._pass_events(attempt, server)
+            self._forward_events(attempt, server)
         else:
-            self._pass_whole(attempt)
+            self._forward_body(attempt)
         server.succeeded(clock())
         times = self.timing.times()
         if times is not None:
-            self.plane.rollouts.answered(server, request.route.label, times, self._loads_canary)
+            self.plane.rollouts.answered(server, request.route.label, times, self._canary_loaded)
         attempt.finish()
         return True
 
     @staticmethod
-    def _drop_rest(attempt: Attempt) -> None:
+    def _discard_body(attempt: Attempt) -> None:
         """Read an answer that is not passed on to its end, so that the connection can be used again."""
         try:
-            for _ in attempt.pieces():
+            for _ in attempt.read_body():
                 pass
         except AttemptFailed:
             attempt.close()  # what its head promised holds, whatever becomes of its body
@@ -278,98 +278,98 @@
 
     def _note_rejection(self, server: Server, head: http.Head) -> None:
         """It turned the request away: for its being full, another instance, or of other weights."""
-        self.failed_at.add(server.instance_id)
+        self.excluded_instances.add(server.instance_id)
         self._learn_revision(server, head)
         server.rejected(clock())
 
     def _learn_revision(self, server: Server, head: http.Head) -> None:
-        told = head.fields.get(b"versions", b"")
-        if told.isdigit() and self.request.model is not None:
-            server.record_revision(self.request.model, int(told))
+        told_revision = head.fields.get(b"versions", b"")
+        if told_revision.isdigit() and self.request.model is not None:
+            server.record_revision(self.request.model, int(told_revision))
 
     # ---- passing on
 
-    def _pass_whole(self, attempt: Attempt) -> None:
+    def _forward_body(self, attempt: Attempt) -> None:
         """Pass on an answer that is no stream: whole where it is short, else in pieces."""
         body = bytearray()
-        pieces = attempt.pieces()
+        pieces = attempt.read_body()
         for piece in pieces:
             body += piece
-            if len(body) > WHOLE_ANSWER:
-                self._pass_long(attempt, bytes(body), pieces)
+            if len(body) > MAX_BUFFERED_BODY_BYTES:
+                self._stream_body(attempt, bytes(body), pieces)
                 return
         head = attempt.head
-        self.timing.passed_on(clock())
+        self.timing.record_output(clock())
         attempt.finish()
-        if self.answer.begun:  # a stream that went on elsewhere and failed there
-            self.answer.break_off()
+        if self.response.begun:  # a stream that went on elsewhere and failed there
+            self.response.abort()
             return
-        self.answer.whole(head.status, bytes(body), head.passed_on(frozenset()))
+        self.response.send(head.status, bytes(body), head.passed_on(frozenset()))
 
-    def _pass_long(self, attempt: Attempt, first: bytes, pieces) -> None:
-        if self.answer.begun:  # a stream that went on elsewhere and failed there
-            self.answer.break_off()
+    def _stream_body(self, attempt: Attempt, first: bytes, pieces) -> None:
+        if self.response.begun:  # a stream that went on elsewhere and failed there
+            self.response.abort()
             return
-        self.answer.begin(attempt.head)
+        self.response.begin(attempt.head)
         try:
-            self.answer.piece(first)
+            self.response.write(first)
             for piece in pieces:
-                self.answer.piece(piece)
+                self.response.write(piece)
         except (AttemptFailed, DeadlinePassed):
-            self.answer.break_off()
+            self.response.abort()
             return
-        self.answer.end()
+        self.response.end()
 
-    def _pass_events(self, attempt: Attempt, server: Server) -> None:
+    def _forward_events(self, attempt: Attempt, server: Server) -> None:
         """Pass on whole events as they come; those that the client has from an earlier attempt are left out."""
         splitter = EventSplitter()
         first = True
-        for piece in attempt.pieces():
-            self._has_read(server)
+        for piece in attempt.read_body():
+            self._note_prompt_read(server)
             events = splitter.feed(piece)
-            passed = [event for event in events if self._is_next(event.id)]
+            passed = [event for event in events if self._is_new(event.id)]
             data = b"".join(event.data for event in passed)
             for event in events:
                 if event.revision is not None and self.request.model is not None:
                     server.record_revision(self.request.model, event.revision)
             if not data:
                 continue
-            if first and not self.answer.begun:
-                self.answer.begin(attempt.head)
+            if first and not self.response.begun:
+                self.response.begin(attempt.head)
             first = False
-            self.timing.passed_on(clock())
-            self.answer.piece(data)
-            self._note_passed_on(passed)
-        if splitter.rest:
-            raise AttemptFailed("the stream ends inside an event", ran=True)
-        if not self.answer.begun:
-            self.answer.begin(attempt.head)
-        self.answer.end()
-
-    def _note_passed_on(self, events: list[Event]) -> None:
+            self.timing.record_output(clock())
+            self.response.write(data)
+            self._note_forwarded(passed)
+        if splitter.remainder:
+            raise AttemptFailed("the stream ends inside an event", may_have_run=True)
+        if not self.response.begun:
+            self.response.begin(attempt.head)
+        self.response.end()
+
+    def _note_forwarded(self, events: list[Event]) -> None:
         """These have gone to the client: where would another server go on?"""
         for event in events:
             if event.id is not None:
                 self.last_event_id = event.id
-                self.ends_unnamed = False
-            elif event.is_unnamed_piece:
-                self.ends_unnamed = True
+                self.resume_point_lost = False
+            elif event.is_data_without_id:
+                self.resume_point_lost = True
 
-    def _is_next(self, event_id: int | None) -> bool:
+    def _is_new(self, event_id: int | None) -> bool:
         return event_id is None or self.last_event_id is None or event_id > self.last_event_id
 
 
-def _wait_for_start(plane: PlaneState, client: ClientConnection, message: http.Message) -> None:
-    """Wait for what every request needs; one that cannot be read is judged by what comes next."""
+def _wait_for_startup(plane: PlaneState, client: ClientConnection, message: http.Message) -> None:
+    """Wait for what all_servers request needs; one that cannot be read is judged by what comes next."""
     with suppress(Rejected):
-        plane.startup_gate.wait(client, int(wait_ms(message.head.fields) * NS_PER_MS))
+        plane.startup_gate.wait(client, int(client_timeout_ms(message.head.fields) * NS_PER_MS))
 
 
-def answer_request(plane: PlaneState, client: ClientConnection, message: http.Message, arrived: int) -> bool:
+def handle_request(plane: PlaneState, client: ClientConnection, message: http.Message, arrived: int) -> bool:
     """Answer one request; whether the client's connection goes on."""
     keep = message.head.keeps_alive and not plane.draining and not client.listener.closing
     if not plane.startup_gate.open:
-        _wait_for_start(plane, client, message)
+        _wait_for_startup(plane, client, message)
     if plane.active is None:
         client.write(http.response(503, b"no configuration yet\n", b"Retry-After: 0.5\r\n", close=True))
         return False
@@ -384,4 +384,4 @@
         return keep
     exchange = Exchange(plane, client, request, keep)
     exchange.run()
-    return exchange.answer.keep and not client.broken and not client.left
+    return exchange.response.keep and not client.reset_on_close and not client.disconnected
--- a/iristrack/dataplane/lateness.py
+++ b/iristrack/dataplane/lateness.py
@@ -1,4 +1,4 @@
-"""Why an answer was late: what took most of the time of a request whose answer passed its route's aim.
+"""Why an answer was late: what took most of the time of a request whose answer passed its route's target_ns.
 
 The time is measured here, at the sidecar; the ways to and from the client come on top.
 """
@@ -12,7 +12,9 @@
 from iristrack.placement.rollouts import AnswerTimes
 
 NS_PER_MS = 1_000_000
-EARLY_SHARE = 0.5  # of the aim; what had passed before the last sending counts as its reason from there on
+BEFORE_SEND_RATIO = (
+    0.5  # of the target_ns; what had passed before the last sending counts as its reason from there on
+)
 
 
 class LateReason(Enum):
@@ -30,68 +32,68 @@
     """The times of one request. All are in nanoseconds of the monotonic clock."""
 
     __slots__ = (
-        "_arrived",
-        "_began",
+        "_arrived_at",
         "_fetches",
-        "_first_word",
-        "_last_word",
-        "_longest_pause",
-        "_others",
-        "_own",
-        "_parts",
-        "_sent",
+        "_first_output_at",
+        "_last_output_at",
+        "_max_gap",
+        "_others_load",
+        "_output_count",
+        "_own_pieces",
+        "_sent_at",
+        "_started_at",
     )
 
     def __init__(self, arrived: int, began: int) -> None:
         """`arrived` is when its last byte was read, `began` when this process could begin with it."""
-        self._arrived = arrived
-        self._began = began
-        self._sent: int | None = None
-        self._own = 0
-        self._others = 0
+        self._arrived_at = arrived
+        self._started_at = began
+        self._sent_at: int | None = None
+        self._own_pieces = 0
+        self._others_load = 0
         self._fetches = False
-        self._first_word: int | None = None
-        self._last_word = 0
-        self._longest_pause = 0
-        self._parts = 0  # of the answer, that were passed on
+        self._first_output_at: int | None = None
+        self._last_output_at = 0
+        self._max_gap = 0
+        self._output_count = 0  # of the answer, that were passed on
 
-    def sent(self, now: int, own_pieces: int, others_load: int, fetches: bool) -> None:
+    def record_sent(self, now: int, own_pieces: int, others_load: int, fetches: bool) -> None:
         """It is sent to a server that has so much to do for it and for others (pieces), and may fetch its parts."""
-        self._sent = now
-        self._own, self._others, self._fetches = own_pieces, others_load, fetches
+        self._sent_at = now
+        self._own_pieces, self._others_load, self._fetches = own_pieces, others_load, fetches
 
-    def passed_on(self, now: int) -> None:
+    def record_output(self, now: int) -> None:
         """A part of the answer goes to the client."""
-        if self._first_word is None:
-            self._first_word = now
+        if self._first_output_at is None:
+            self._first_output_at = now
         else:
-            self._longest_pause = max(self._longest_pause, now - self._last_word)
-        self._last_word = now
-        self._parts += 1
+            self._max_gap = max(self._max_gap, now - self._last_output_at)
+        self._last_output_at = now
+        self._output_count += 1
 
     def times(self) -> AnswerTimes | None:
         """How long the answer took; None where there was none, or parts of it came from an earlier server."""
-        if self._first_word is None or self._sent is None or self._first_word < self._sent:
+        if self._first_output_at is None or self._sent_at is None or self._first_output_at < self._sent_at:
             return None
-        pause_ns = (self._last_word - self._first_word) // max(1, self._parts - 1)
-        return AnswerTimes(self._first_word - self._sent, pause_ns)
+        pause_ns = (self._last_output_at - self._first_output_at) // max(1, self._output_count - 1)
+        return AnswerTimes(self._first_output_at - self._sent_at, pause_ns)
 
     def reason(self, route: Route) -> LateReason | None:
         """Why the answer was late; None where it was in time, or there was none."""
-        if self._first_word is None or self._sent is None:
+        if self._first_output_at is None or self._sent_at is None:
             return None
-        aim = int(route.target_latency_ms * NS_PER_MS)
-        if self._first_word - self._arrived <= aim:
+        target_ns = int(route.target_latency_ms * NS_PER_MS)
+        if self._first_output_at - self._arrived_at <= target_ns:
             gap_ms = route.gap_aim_ms
-            is_late = gap_ms is not None and self._longest_pause > gap_ms * NS_PER_MS
+            is_late = gap_ms is not None and self._max_gap > gap_ms * NS_PER_MS
             return LateReason.PAUSE if is_late else None
-        if self._began - self._arrived > aim * EARLY_SHARE:
+        if self._started_at - self._arrived_at > target_ns * BEFORE_SEND_RATIO:
             return LateReason.START
-        if self._sent - self._began > aim * EARLY_SHARE:
+        if self._sent_at - self._started_at > target_ns * BEFORE_SEND_RATIO:
             return LateReason.RETRIES
-        if self._own > self._others:
+        if self._own_pieces > self._others_load:
             return LateReason.READ
-        return LateReason.MOVE if self._fetches and not self._others else LateReason.WAIT
+        return LateReason.MOVE if self._fetches and not self._others_load else LateReason.WAIT
 
 
 class LateCounts:
@@ -106,6 +108,6 @@
         if reason is not None:
             self._counts[reason] += 1
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """The counts by name, for the log and the metrics."""
         return {f"late_{reason.value}": self._counts[reason] for reason in LateReason}
--- a/iristrack/dataplane/load_reports.py
+++ b/iristrack/dataplane/load_reports.py
@@ -19,7 +19,7 @@
 from iristrack.wire.connection import PeerConnection
 from iristrack.wire.messages import ServerLoad, ServerLoads
 
-JUDGE_NS = 100_000_000  # between two looks at which servers fail too many requests
+OUTLIER_CHECK_INTERVAL_NS = 100_000_000  # between two looks at which servers fail too many requests
 
 
 class HubFinder(Protocol):
@@ -37,44 +37,44 @@
         self.plane = plane
         self.finder = finder
         self._stream = ReportStream(plane.settings.node_name)
-        self._own: dict[str, ServerLoad] = {}  # as the hub was told
+        self._reported: dict[str, ServerLoad] = {}  # as the hub was told
         self._total: dict[str, ServerLoad] = {}  # as the hub told, this sidecar's among them
-        self._told_hub: PeerConnection | None = None
-        self._heard_at = 0
-        self._judged_at = 0
-        self._heard_count = 0  # the hub's number of the newest report that was followed
+        self._reported_hub: PeerConnection | None = None
+        self._last_total_at = 0
+        self._outliers_checked_at = 0
+        self._last_total_number = 0  # the hub's number of the newest report that was followed
         plane.scheduler.call_at(self.plane.scheduler.now() + self._interval, self._tick)
 
     @property
     def _interval(self) -> int:
-        return report_interval(self.plane.sidecars if self._heard_at else 0)
+        return report_interval(self.plane.sidecar_count if self._last_total_at else 0)
 
-    def on_others(self, message: ServerLoads) -> None:
+    def on_total(self, message: ServerLoads) -> None:
         """The hub told the sum of all sidecars, or what has changed of it."""
-        self._heard_at = self.plane.scheduler.now()
+        self._last_total_at = self.plane.scheduler.now()
         if not message.partial:
             self._total = by_instance(message.loads)
             changed = None
-        elif message.count == self._heard_count + 1:
+        elif message.count == self._last_total_number + 1:
             apply_changes(self._total, message.loads)
             changed = [load.instance for load in message.loads]
         else:
             return  # a report before it was left out: the next whole one counts
-        self._heard_count = message.count
-        self.plane.follow_sidecars(message.sidecars)
-        self._follow_others(changed)
+        self._last_total_number = message.count
+        self.plane.set_sidecar_count(message.sidecars)
+        self._update_servers(changed)
 
-    def _follow_others(self, changed: Iterable[str] | None = None) -> None:
+    def _update_servers(self, changed: Iterable[str] | None = None) -> None:
         """Have servers know what is under way there but for this sidecar's own: those of these instances, or all."""
         servers = self.plane.servers.servers
         for instance in servers if changed is None else changed:
             server = servers.get(instance)
             if server is not None:
-                self._follow_server(server)
+                self._update_server(server)
 
-    def _follow_server(self, server: Server) -> None:
+    def _update_server(self, server: Server) -> None:
         load = self._total.get(server.instance_id)
-        own = self._own.get(server.instance_id)
+        own = self._reported.get(server.instance_id)
         if load is not None and own is not None:
             load = subtract_loads(load, own)
         server.others_inflight = 0 if load is None else load.requests
@@ -83,21 +83,21 @@
 
     def _tick(self) -> None:
         now = self.plane.scheduler.now()
-        if self._heard_at and now - self._heard_at > EXPIRY_NS:
-            self._forget_others()
-        own = {load.instance: load for load in self._own_loads(now)}
-        if now - self._judged_at >= JUDGE_NS:
-            self._judged_at = now
+        if self._last_total_at and now - self._last_total_at > EXPIRY_NS:
+            self._clear_total()
+        own = {load.instance: load for load in self._local_loads(now)}
+        if now - self._outliers_checked_at >= OUTLIER_CHECK_INTERVAL_NS:
+            self._outliers_checked_at = now
             self.plane.servers.update_ejections(now)
-        self._tell(own, now)
+        self._report(own, now)
         self.plane.scheduler.call_at(now + self._interval, self._tick)
 
-    def _forget_others(self) -> None:
-        self._heard_at = 0
+    def _clear_total(self) -> None:
+        self._last_total_at = 0
         self._total = {}
-        self._follow_others()
+        self._update_servers()
 
-    def _own_loads(self, now: int) -> Iterator[ServerLoad]:
+    def _local_loads(self, now: int) -> Iterator[ServerLoad]:
         for server in self.plane.servers.servers.values():
             outcomes = server.outcomes.total(now)
             if server.inflight or outcomes != NO_OUTCOMES:
@@ -109,14 +109,14 @@
                     outcomes.failed,
                 )
 
-    def _tell(self, own: dict[str, ServerLoad], now: int) -> None:
+    def _report(self, own: dict[str, ServerLoad], now: int) -> None:
         hub = self.finder.hub()
         if hub is None:
             return
-        if hub is not self._told_hub:
-            self._told_hub = hub
+        if hub is not self._reported_hub:
+            self._reported_hub = hub
             self._stream.force_full_report()
         report = self._stream.next(own, 1, now)
         if report is not None:
-            self._own = own
+            self._reported = own
             hub.send(report)
--- a/iristrack/dataplane/older_weights.py
+++ b/iristrack/dataplane/older_weights.py
@@ -7,11 +7,11 @@
 from iristrack.engines.named_weights import NamedWeights
 
 NS_PER_MS = 1_000_000
-LINE_NS = 1000 * NS_PER_MS  # at most one line in so long
+LOG_INTERVAL_NS = 1000 * NS_PER_MS  # at most one line in so long
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class BegunRequest:
     """A request that a server has begun."""
 
     instance_id: str
@@ -29,12 +29,12 @@
         self.named = named
         self.log = log
         self.begun_count = 0
-        self.taken_back_count = 0  # requests that a server had not begun before their time was over
-        self.most_sent_ms = 0  # after a newer revision was named
-        self.most_begun_ms = 0
-        self._next_line_at = 0
+        self.cancelled_count = 0  # requests that a server had not begun before their time was over
+        self.max_sent_ms = 0  # after a newer revision was named
+        self.max_begun_ms = 0
+        self._next_log_at = 0
 
-    def begun(self, request: Begun) -> None:
+    def record_begun(self, request: BegunRequest) -> None:
         """A server has begun a request."""
         superseded_at = self.named.superseded_at(request.model, request.revision)
         if superseded_at is None:
@@ -44,10 +44,10 @@
         if begun_ms < 0:
             return
         self.begun_count += 1
-        self.most_sent_ms = max(self.most_sent_ms, sent_ms)
-        self.most_begun_ms = max(self.most_begun_ms, begun_ms)
-        if self.log is not None and request.begun_at >= self._next_line_at:
-            self._next_line_at = request.begun_at + LINE_NS
+        self.max_sent_ms = max(self.max_sent_ms, sent_ms)
+        self.max_begun_ms = max(self.max_begun_ms, begun_ms)
+        if self.log is not None and request.begun_at >= self._next_log_at:
+            self._next_log_at = request.begun_at + LOG_INTERVAL_NS
             self.log.info(
                 "older weights",
                 server=request.instance_id,
@@ -58,11 +58,11 @@
                 begun_ms=begun_ms,
             )
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """For the log and `/metrics`; times in milliseconds after a newer revision was named."""
         return {
             "older_weights_begun": self.begun_count,
-            "older_weights_taken_back": self.taken_back_count,
-            "older_weights_most_sent_ms": self.most_sent_ms,
-            "older_weights_most_begun_ms": self.most_begun_ms,
+            "older_weights_taken_back": self.cancelled_count,
+            "older_weights_most_sent_ms": self.max_sent_ms,
+            "older_weights_most_begun_ms": self.max_begun_ms,
         }
--- a/iristrack/dataplane/program.py
+++ b/iristrack/dataplane/program.py
@@ -13,7 +13,7 @@
 from iristrack.dataplane.clients import ClientListener
 from iristrack.dataplane.control_link import ControlLink
 from iristrack.dataplane.discovery import ServerListFollower
-from iristrack.dataplane.exchange import answer_request
+from iristrack.dataplane.exchange import handle_request
 from iristrack.dataplane.state import PlaneState
 from iristrack.http1 import messages as http
 from iristrack.http1.serving import HttpServer, Response
@@ -24,14 +24,14 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-CLIENT_SHARE = 0.5  # of the descriptors
-SERVER_SHARE = 0.35
-SERVER_IDLE_NS = 5 * NS_PER_S  # connections to servers are kept idle for so long
-UNREADY_NS = 2500 * NS_PER_MS  # new clients come for so long after readiness is withdrawn
-END_MARGIN_NS = 600 * NS_PER_MS  # before the grace ends
-REPORT_NS = 10 * NS_PER_S
+CLIENT_DESCRIPTOR_RATIO = 0.5  # of the descriptors
+SERVER_DESCRIPTOR_RATIO = 0.35
+SERVER_IDLE_TIMEOUT_NS = 5 * NS_PER_S  # connections to servers are kept idle for so long
+DRAIN_ACCEPT_NS = 2500 * NS_PER_MS  # new clients come for so long after readiness is withdrawn
+STOP_MARGIN_NS = 600 * NS_PER_MS  # before the grace ends
+METRICS_LOG_INTERVAL_NS = 10 * NS_PER_S
 # So long after its first configuration a sidecar serves by it though no majority of the core has confirmed it.
-UNCONFIRMED_NS = 1500 * NS_PER_MS
+MAX_UNCONFIRMED_NS = 1500 * NS_PER_MS
 
 
 class DataPlane:
@@ -44,12 +44,12 @@
         self.log = log
         self.scheduler = Scheduler(lambda text: log.exception(text))
         most = settings.limits.max_fds or 1024
-        links = Links(self.scheduler, SERVER_IDLE_NS, int(most * SERVER_SHARE), whole=0)
+        links = Links(self.scheduler, SERVER_IDLE_TIMEOUT_NS, int(most * SERVER_DESCRIPTOR_RATIO), whole=0)
         links.connect = connect_to_server
         self.plane = PlaneState(settings, self.scheduler, links, random.Random())
         self.plane.older_weights.log = log
-        self.most_clients = int(most * CLIENT_SHARE)
-        self.control: ControlLink | None = None
+        self.max_clients = int(most * CLIENT_DESCRIPTOR_RATIO)
+        self.control_link: ControlLink | None = None
         self.listener: ClientListener | None = None
         self.readiness: HttpServer | None = None
         self._configured_at: int | None = None
@@ -58,14 +58,16 @@
     def start(self) -> None:
         """Listen and dial; raises `OSError` where an address cannot be had."""
         bind = self.settings.bind
-        self.readiness = HttpServer(self.scheduler, _pair(bind.readiness), self._answer_readiness, 64 * 1024)
+        self.readiness = HttpServer(
+            self.scheduler, _host_port(bind.readiness), self._answer_readiness, 64 * 1024
+        )
         self.listener = ClientListener(
-            self.scheduler, _pair(bind.front_http), self._exchange, self.most_clients
+            self.scheduler, _host_port(bind.front_http), self._handle_request, self.max_clients
         )
         self.plane.links.start()
-        self.control = ControlLink(self.plane, ServerListFollower(self.plane), self.log)
-        self.control.on_configuration = self._follow_limits
-        self.scheduler.call_at(clock() + REPORT_NS, self._report)
+        self.control_link = ControlLink(self.plane, ServerListFollower(self.plane), self.log)
+        self.control_link.on_configuration = self._apply_limits
+        self.scheduler.call_at(clock() + METRICS_LOG_INTERVAL_NS, self._report)
 
     def run(self, signals: socket.socket) -> None:
         """Serve until SIGTERM or SIGINT has been obeyed."""
@@ -76,24 +78,24 @@
 
     # ---- requests
 
-    def _exchange(self, client, message: http.Message, arrived: int) -> bool:
-        return answer_request(self.plane, client, message, arrived)
+    def _handle_request(self, client, message: http.Message, arrived: int) -> bool:
+        return handle_request(self.plane, client, message, arrived)
 
-    def _follow_limits(self) -> None:
+    def _apply_limits(self) -> None:
         active = self.plane.active
         if active is not None:
             limits = active.configuration.limits
-            self.listener.most_body = limits.max_body_bytes
-            self.listener.most_head = limits.max_header_bytes
-            self.listener.header_ns = int(limits.header_timeout_ms * NS_PER_MS)
-            self.listener.idle_ns = int(limits.idle_timeout_ms * NS_PER_MS)
+            self.listener.max_body_bytes = limits.max_body_bytes
+            self.listener.max_head_bytes = limits.max_header_bytes
+            self.listener.header_timeout_ns = int(limits.header_timeout_ms * NS_PER_MS)
+            self.listener.idle_timeout_ns = int(limits.idle_timeout_ms * NS_PER_MS)
 
     # ---- readiness
 
     def _answer_readiness(self, message: http.Message) -> Response:
         path = message.head.target.partition(b"?")[0]
         if path == b"/metrics":
-            return Response(200, format_metrics(self._figures() | {"ready": self.ready}), CONTENT_TYPE)
+            return Response(200, format_metrics(self._metrics() | {"ready": self.ready}), CONTENT_TYPE)
         if path != b"/ready":
             return Response(404, b"", b"")
         return Response(200 if self.ready else 503, b"", b"")
@@ -109,8 +111,8 @@
         now = clock()
         if self._configured_at is None:
             self._configured_at = now
-        self._confirmed = self._confirmed or self.control.configuration_confirmed
-        return self._confirmed or now - self._configured_at > UNCONFIRMED_NS
+        self._confirmed = self._confirmed or self.control_link.configuration_confirmed
+        return self._confirmed or now - self._configured_at > MAX_UNCONFIRMED_NS
 
     # ---- signals
 
@@ -124,7 +126,7 @@
         fresh = self.reload_settings()
         if fresh is not None:
             self.settings = self.plane.settings = fresh
-            self.control.follow_seeds()
+            self.control_link.dial_members()
 
     def stop(self) -> None:
         """Withdraw readiness, serve what still comes, then end with the last answer or the grace."""
@@ -133,23 +135,23 @@
         self.plane.draining = True
         self.log.info("stopping", clients=len(self.listener.connections))
         grace_ns = int(self.settings.rule_bounds.grace_s * NS_PER_S)
-        self.scheduler.call_at(clock() + min(UNREADY_NS, grace_ns // 2), self._close_listener)
-        self.scheduler.call_at(clock() + grace_ns - END_MARGIN_NS, self._end)
+        self.scheduler.call_at(clock() + min(DRAIN_ACCEPT_NS, grace_ns // 2), self._close_listener)
+        self.scheduler.call_at(clock() + grace_ns - STOP_MARGIN_NS, self._end)
 
     def _close_listener(self) -> None:
         self.listener.stop_accepting()
         self.listener.on_empty = self._end
-        self.listener.end_idle()
+        self.listener.close_idle()
         if not self.listener.connections:
             self._end()
 
     def _end(self) -> None:
-        self.log.info("stopped", **self._figures())
+        self.log.info("stopped", **self._metrics())
         self.scheduler.stop()
 
     # ---- the log
 
-    def _figures(self) -> dict[str, object]:
+    def _metrics(self) -> dict[str, object]:
         counters = self.plane.counters
         return {
             "requests": counters.requests,
@@ -162,15 +164,15 @@
             "clients": len(self.listener.connections),
             "server_connections": self.plane.links.open,
             "index_entries": self.plane.index.entries,
-            **self.plane.late.figures(),
-            **self.plane.older_weights.figures(),
+            **self.plane.late_counts.metrics(),
+            **self.plane.older_weights.metrics(),
             "worst_turn_us": self.scheduler.worst_turn_ns // 1000,
         }
 
     def _report(self) -> None:
-        self.log.info("figures", **self._figures())
+        self.log.info("figures", **self._metrics())
         self.scheduler.worst_turn_ns = 0
-        self.scheduler.call_at(clock() + REPORT_NS, self._report)
+        self.scheduler.call_at(clock() + METRICS_LOG_INTERVAL_NS, self._report)
 
 
 def raise_descriptor_limit(most: int | None) -> None:
@@ -181,5 +183,5 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
 
 
-def _pair(address: Address) -> tuple[str, int]:
+def _host_port(address: Address) -> tuple[str, int]:
     return address.host, address.port
--- a/iristrack/dataplane/prompt_parts.py
+++ b/iristrack/dataplane/prompt_parts.py
@@ -14,7 +14,7 @@
 from iristrack.prefix_index.pending_prefills import ExpectedPrefix
 from iristrack.runtime.scheduler import clock
 
-LEAST_FETCH_TOKENS = 64  # fewer are read faster than they are moved
+MIN_FETCH_TOKENS = 64  # fewer are read faster than they are moved
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,22 +46,22 @@
         self.plane = plane
         self.request = request
         self.service = service
-        self._covered: dict[str, dict[str, int]] = {}  # by salt, kept tokens by holder
-        self._expected: dict[str, ExpectedPrefix | None] = {}  # by salt
+        self._coverage_by_salt: dict[str, dict[str, int]] = {}  # by salt, kept tokens by holder
+        self._read_by_salt: dict[str, ExpectedPrefix | None] = {}  # by salt
 
-    def look_again(self) -> None:
+    def clear_lookups(self) -> None:
         """Another attempt begins: what is kept may have changed."""
-        self._covered.clear()
-        self._expected.clear()
+        self._coverage_by_salt.clear()
+        self._read_by_salt.clear()
 
-    def at(self, server: Server) -> PrefillEstimate:
+    def prompt_for(self, server: Server) -> PrefillEstimate:
         """What the server would have to do with the prompt."""
         request = self.request
         if not request.parts or request.model is None:
             return PrefillEstimate(request.prompt_tokens, 0, 0)
         salt = self._salt(server)
         kept = self._coverage(salt)
-        reading = self._being_read(salt)
+        reading = self._inflight_read(salt)
         own = kept.get(server.address, 0)
         if reading is not None and reading.holder == server.address:
             own = max(own, reading.tokens)
@@ -84,7 +84,7 @@
         kept = dict(self._coverage(salt))
         own = kept.pop(server.address, 0)
         source = max(kept, key=kept.__getitem__, default=None)
-        if source is not None and kept[source] < own + LEAST_FETCH_TOKENS:
+        if source is not None and kept[source] < own + MIN_FETCH_TOKENS:
             source = None
         wanted = sum(part.tokens for part in shared)
         saved = any(kept[store] >= wanted for store in stores)
@@ -99,23 +99,23 @@
 
     def _coverage(self, salt: str) -> dict[str, int]:
         """How much of the prompt each server and store keeps under the salt."""
-        known = self._covered.get(salt)
+        known = self._coverage_by_salt.get(salt)
         if known is None:
             request = self.request
             servers = [server.address for server in self.plane.servers.of_service(self.service)]
             holders = [*servers, *self._stores()]
             known = self.plane.index.coverage(salt, request.model, request.parts, holders)
-            self._covered[salt] = known
+            self._coverage_by_salt[salt] = known
         return known
 
-    def _being_read(self, salt: str) -> ExpectedPrefix | None:
+    def _inflight_read(self, salt: str) -> ExpectedPrefix | None:
         """What a server is reading of the prompt for an earlier request of this sidecar."""
-        if salt not in self._expected:
+        if salt not in self._read_by_salt:
             reads = self.plane.pending_prefills
-            self._expected[salt] = reads.expected(salt, self.request.model, self.request.parts, clock())
-        return self._expected[salt]
+            self._read_by_salt[salt] = reads.expected(salt, self.request.model, self.request.parts, clock())
+        return self._read_by_salt[salt]
 
-    def begin_read(self, server: Server) -> None:
+    def begin_prompt_read(self, server: Server) -> None:
         """The request is sent to the server: what of its shared parts nobody keeps is read there for the first time."""
         request = self.request
         if request.model is None or not request.parts:
@@ -124,7 +124,7 @@
         if max(self._coverage(salt).values(), default=0) < shared_tokens(request.parts):
             self.plane.pending_prefills.begin(salt, request.model, request.parts, server.address, clock())
 
-    def end_read(self, server: Server, salt: str) -> None:
+    def end_prompt_read(self, server: Server, salt: str) -> None:
         """The parts are kept there from now on, or the attempt has failed."""
         request = self.request
         if request.model is not None and request.parts:
--- a/iristrack/dataplane/requests.py
+++ b/iristrack/dataplane/requests.py
@@ -6,27 +6,29 @@
 from dataclasses import dataclass
 
 from iristrack.configuration.model import Route, RouteKind, Tenant
-from iristrack.dataplane.events import MOST_ID_DIGITS
+from iristrack.dataplane.events import MAX_ID_DIGITS
 from iristrack.dataplane.state import ActiveConfiguration
 from iristrack.http1 import messages as http
 from iristrack.prefix_index.parts import MalformedPrefix, Part, parse_prefix
 
 NS_PER_MS = 1_000_000
-LONGEST_WAIT_MS = 3_600_000.0
-ASSUMED_WAIT_MS = 30_000.0  # of a client that does not say
+MAX_CLIENT_TIMEOUT_MS = 3_600_000.0
+DEFAULT_CLIENT_TIMEOUT_MS = 30_000.0  # of a client that does not say
 DEFAULT_PRIORITY = 5
-KEYS_UNCONFIRMED = "not run: the keys that are in force could not be confirmed lately"
+KEYS_UNCONFIRMED_REASON = "not run: the keys that are in force could not be confirmed lately"
 
 _ATTEMPT_ID = re.compile(rb"[\x21-\x7e]{1,200}\Z")
 _NUMBER = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{1,40})?\Z")
 _TOKENS = re.compile(rb"([0-9]{1,9})(?:[ \t]*,[ \t]*([0-9]{1,9}))?\Z")
-REPLACED = frozenset(
+REPLACED_HEADERS = frozenset(
     {
         b"x-iristrack-time-left-ms", b"x-iristrack-tenant", b"x-iristrack-expect-instance", b"expect-version",
         b"cache-salt", b"kv-fetch", b"kv-save", b"priority", b"last-event-id",
     }
 )  # fmt: skip
-_ONCE = frozenset({b"x-iristrack-attempt-id", b"x-iristrack-time-left-ms", b"host", b"authorization"})
+_SINGLE_HEADERS = frozenset(
+    {b"x-iristrack-attempt-id", b"x-iristrack-time-left-ms", b"host", b"authorization"}
+)
 
 
 class Rejected(Exception):
@@ -46,13 +48,13 @@
     attempt_id: bytes
     method: bytes
     target: bytes
-    lines: bytes  # header lines that are passed on as they came
+    header_lines: bytes  # header lines that are passed on as they came
     body: bytes
     route: Route
     tenant: Tenant | None
-    arrived: int
-    deadline: int  # the client waits until then
-    hold_until: int  # and the operator wants it held until then
+    arrived_at: int
+    client_deadline: int  # the client waits until then
+    attempt_deadline: int  # and the operator wants it held until then
     model: str | None
     parts: tuple[Part, ...]
     prompt_tokens: int
@@ -93,36 +95,36 @@
 
 
 def read_request(
-    active: ActiveConfiguration, message: http.Message, arrived: int, keys_hold: bool = True
+    active: ActiveConfiguration, message: http.Message, arrived_at: int, keys_hold: bool = True
 ) -> ClientRequest:
     """Read a whole request; raises `Rejected`, also for one that needs a key while the keys in force may be old."""
     head = message.head
     fields = head.fields
-    if head.repeated & _ONCE:
+    if head.repeated & _SINGLE_HEADERS:
         raise Rejected(400, "a header that may stand once stands twice")
     route = _route(active, head)
     needs_key = active.tenants.required and not route.public
     if needs_key and not keys_hold:
-        raise Rejected(503, KEYS_UNCONFIRMED)
+        raise Rejected(503, KEYS_UNCONFIRMED_REASON)
     tenant = _tenant(active, route, fields)
     attempt_id = fields.get(b"x-iristrack-attempt-id", b"")
     if not _ATTEMPT_ID.match(attempt_id):
         raise Rejected(400, "X-Iristrack-Attempt-Id is needed")
-    wait_ns = int(wait_ms(fields) * NS_PER_MS)
-    hold_ns = min(wait_ns, int(route.timeout_ms * NS_PER_MS))
+    client_timeout_ns = int(client_timeout_ms(fields) * NS_PER_MS)
+    timeout_ns = min(client_timeout_ns, int(route.timeout_ms * NS_PER_MS))
     prompt_tokens, output_tokens = _tokens(fields)
-    hidden = REPLACED | {b"authorization"} if active.tenants.required else REPLACED
+    hidden = REPLACED_HEADERS | {b"authorization"} if active.tenants.required else REPLACED_HEADERS
     return ClientRequest(
         attempt_id=attempt_id,
         method=head.method,
         target=head.target,
-        lines=head.passed_on(hidden),
+        header_lines=head.passed_on(hidden),
         body=message.body,
         route=route,
         tenant=tenant,
-        arrived=arrived,
-        deadline=arrived + wait_ns,
-        hold_until=arrived + hold_ns,
+        arrived_at=arrived_at,
+        client_deadline=arrived_at + client_timeout_ns,
+        attempt_deadline=arrived_at + timeout_ns,
         model=_text(fields.get(b"x-iristrack-model")),
         parts=_parts(fields),
         prompt_tokens=prompt_tokens,
@@ -161,14 +163,14 @@
         return key.decode("latin-1")
 
 
-def wait_ms(fields: dict[bytes, bytes]) -> float:
+def client_timeout_ms(fields: dict[bytes, bytes]) -> float:
     """For how many milliseconds the client will wait; raises `Rejected` where it says so unreadably."""
-    told = fields.get(b"x-iristrack-time-left-ms")
-    if told is None:
-        return ASSUMED_WAIT_MS
-    if not _NUMBER.match(told):
+    value = fields.get(b"x-iristrack-time-left-ms")
+    if value is None:
+        return DEFAULT_CLIENT_TIMEOUT_MS
+    if not _NUMBER.match(value):
         raise Rejected(400, "X-Iristrack-Time-Left-Ms is no number")
-    return min(float(told), LONGEST_WAIT_MS)
+    return min(float(value), MAX_CLIENT_TIMEOUT_MS)
 
 
 def _tokens(fields: dict[bytes, bytes]) -> tuple[int, int]:
@@ -186,8 +188,8 @@
 
 
 def _last_event_id(fields: dict[bytes, bytes]) -> int | None:
-    told = fields.get(b"last-event-id", b"")
-    return int(told) if told.isdigit() and len(told) <= MOST_ID_DIGITS else None
+    value = fields.get(b"last-event-id", b"")
+    return int(value) if value.isdigit() and len(value) <= MAX_ID_DIGITS else None
 
 
 def _text(value: bytes | None) -> str | None:
--- a/iristrack/dataplane/state.py
+++ b/iristrack/dataplane/state.py
@@ -26,13 +26,13 @@
 from iristrack.settings import Settings
 
 NS_PER_MS = 1_000_000
-MOST_INDEX_ENTRIES = 60_000
+MAX_INDEX_ENTRIES = 60_000
 # Shares of `older_weights_ms` after a revision was named: so long requests are sent to servers on older ones, and by
 # then they have to have begun there. What is left is for messages under way.
-SEND_SHARE = 0.75
-BEGIN_SHARE = 0.95
+SEND_RATIO = 0.75
+BEGIN_RATIO = 0.95
 Labelled = TypeVar("Labelled", Route, Tenant)
-SIDECARS_ASSUMED = 12  # that share the retry budget while their number is not known
+DEFAULT_SIDECAR_COUNT = 12  # that share the retry budget while their number is not known
 
 
 class ActiveConfiguration:
@@ -58,18 +58,19 @@
         routes = tenants = None
         if amendment.touches(ROUTES):
             routes = self.routes.amended(
-                _touched(before.routes, amendment, ROUTES), _touched(after.routes, amendment, ROUTES)
+                _amended_items(before.routes, amendment, ROUTES),
+                _amended_items(after.routes, amendment, ROUTES),
             )
         if amendment.touches(TENANTS):
             tenants = self.tenants.amended(
-                _touched(before.tenants or (), amendment, TENANTS),
-                _touched(after.tenants or (), amendment, TENANTS),
+                _amended_items(before.tenants or (), amendment, TENANTS),
+                _amended_items(after.tenants or (), amendment, TENANTS),
                 after.tenants is not None,
             )
         return ActiveConfiguration(after, routes or self.routes, tenants or self.tenants)
 
 
-def _touched(items: Iterable[Labelled], amendment: Amendment, name: str) -> list[Labelled]:
+def _amended_items(items: Iterable[Labelled], amendment: Amendment, name: str) -> list[Labelled]:
     """Return the items of a list that an amendment names."""
     named = amendment.rows(name).keys() | amendment.removed(name)
     return [item for item in items if item.label in named]
@@ -98,15 +99,15 @@
     rng: random.Random
     active: ActiveConfiguration | None = None
     servers: ServerTable = field(default_factory=ServerTable)
-    index: PrefixIndex = field(default_factory=lambda: PrefixIndex(MOST_INDEX_ENTRIES))
+    index: PrefixIndex = field(default_factory=lambda: PrefixIndex(MAX_INDEX_ENTRIES))
     pending_prefills: PendingPrefills = field(default_factory=PendingPrefills)
     named_weights: NamedWeights = field(default_factory=NamedWeights)
     rollouts: Rollouts = field(default_factory=Rollouts)
-    budgets: dict[str, RetryBudget] = field(default_factory=dict)
+    retry_budgets: dict[str, RetryBudget] = field(default_factory=dict)
     counters: Counters = field(default_factory=Counters)
-    late: LateCounts = field(default_factory=LateCounts)
+    late_counts: LateCounts = field(default_factory=LateCounts)
     key_lease: KeyLease = field(default_factory=lambda: KeyLease(None))
-    sidecars: int = SIDECARS_ASSUMED
+    sidecar_count: int = DEFAULT_SIDECAR_COUNT
     draining: bool = False
     startup_gate: StartupGate = field(init=False)
     older_weights: OlderWeights = field(init=False)
@@ -122,27 +123,27 @@
 
     def required_revision(self, model: str, now: int) -> int:
         """The oldest revision of a model's weights to which a request may still be sent; 0: any."""
-        return self.named_weights.required(model, now, self._allowance_ns(SEND_SHARE))
+        return self.named_weights.required(model, now, self._allowance_ns(SEND_RATIO))
 
     def begin_by(self, model: str, revision: int, now: int) -> int:
         """By when (ns) a request has to have begun on a revision, as far as is known now."""
-        return self.named_weights.begin_by(model, revision, now, self._allowance_ns(BEGIN_SHARE))
+        return self.named_weights.begin_by(model, revision, now, self._allowance_ns(BEGIN_RATIO))
 
     def _allowance_ns(self, share: float) -> int:
         return int(self.settings.rule_bounds.older_weights_ms * share) * NS_PER_MS
 
-    def follow_sidecars(self, count: int) -> None:
+    def set_sidecar_count(self, count: int) -> None:
         """So many data planes share the retry budgets."""
-        self.sidecars = max(1, count)
-        for budget in self.budgets.values():
-            budget.set_sidecars(self.sidecars)
+        self.sidecar_count = max(1, count)
+        for budget in self.retry_budgets.values():
+            budget.set_sidecars(self.sidecar_count)
 
-    def budget(self, service: str) -> RetryBudget:
+    def retry_budget(self, service: str) -> RetryBudget:
         """The retry budget of a service."""
-        budget = self.budgets.get(service)
+        budget = self.retry_budgets.get(service)
         if budget is None:
             bounds = self.settings.rule_bounds
-            budget = self.budgets[service] = RetryBudget(
-                bounds.retry_ratio, bounds.retry_slack, self.sidecars
+            budget = self.retry_budgets[service] = RetryBudget(
+                bounds.retry_ratio, bounds.retry_slack, self.sidecar_count
             )
         return budget
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -17,8 +17,8 @@
 
 from iristrack.configuration.document import parse_configuration
 from iristrack.dataplane.clients import ClientListener
-from iristrack.dataplane.discovery import apply_list
-from iristrack.dataplane.exchange import answer_request
+from iristrack.dataplane.discovery import apply_server_list
+from iristrack.dataplane.exchange import handle_request
 from iristrack.dataplane.state import ActiveConfiguration, PlaneState
 from iristrack.http1 import messages as http
 from iristrack.http1.connection import connect
@@ -28,12 +28,12 @@
 from iristrack.settings import read_settings
 
 NS_PER_S = 1_000_000_000
-PATIENCE_NS = 20 * NS_PER_S  # only a failing test waits so long
+TEST_TIMEOUT_NS = 20 * NS_PER_S  # only a failing test waits so long
 LOOPBACK = ("127.0.0.1", 0)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 MODEL = "daka510000"
-SEALED = b"X-Iristrack-Server-Seal: s1\r\n"
-CHUNKED = b"Transfer-Encoding: chunked\r\n"
+SEAL_LINE = b"X-Iristrack-Server-Seal: s1\r\n"
+CHUNKED_LINE = b"Transfer-Encoding: chunked\r\n"
 NOT_EXECUTED = b"X-Iristrack-Not-Executed: 1\r\n"
 
 
@@ -43,10 +43,10 @@
     scheduler.wait(-1, 0, None)
 
 
-class Conversation:
+class ServerExchange:
     """One request at a stand-in server, and the connection on which it is answered."""
 
-    def __init__(self, server: StandInServer, sock: socket.socket, message: http.Message) -> None:
+    def __init__(self, server: FakeModelServer, sock: socket.socket, message: http.Message) -> None:
         self.server = server
         self.sock = sock
         self.message = message
@@ -59,7 +59,7 @@
         scheduler = self.server.scheduler
         send_all(self.sock, data, lambda: scheduler.wait(self.sock.fileno(), WRITE, None))
 
-    def dribble(self, data: bytes) -> None:
+    def send_bytewise(self, data: bytes) -> None:
         """Byte by byte, each in a turn of its own."""
         for at in range(len(data)):
             self.send(data[at : at + 1])
@@ -72,7 +72,7 @@
     def close(self) -> None:
         self.sock.close()
 
-    def wait_for_end(self) -> None:
+    def wait_until_closed(self) -> None:
         """Until the other side has ended the connection."""
         with suppress(OSError):
             while True:
@@ -82,7 +82,7 @@
         self.server.ended += 1
 
 
-Answer = bytes | Callable[[Conversation], None]
+ServerScript = bytes | Callable[[ServerExchange], None]
 
 
 def named(answer: bytes, attempt_id: bytes) -> bytes:
@@ -94,10 +94,10 @@
     return first + b"\r\nX-Iristrack-Attempt-Id: " + attempt_id + b"\r\n" + rest
 
 
-class StandInServer:
+class FakeModelServer:
     """Answers its requests one after the other with `answers`, the last one again and again."""
 
-    def __init__(self, scheduler: Scheduler, answers: tuple[Answer, ...]) -> None:
+    def __init__(self, scheduler: Scheduler, answers: tuple[ServerScript, ...]) -> None:
         self.scheduler = scheduler
         self.answers = list(answers)
         self.requests: list[http.Message] = []
@@ -132,11 +132,11 @@
                     message = reader.feed(data)
                 self.requests.append(message)
                 answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-                conversation = Conversation(self, sock, message)
+                exchange = ServerExchange(self, sock, message)
                 if isinstance(answer, bytes):
-                    conversation.send(named(answer, conversation.id))
+                    exchange.send(named(answer, exchange.id))
                 else:
-                    answer(conversation)
+                    answer(exchange)
         except OSError:
             pass  # the data plane has ended the connection
         finally:
@@ -179,7 +179,7 @@
 
     def __init__(self, harness: Harness) -> None:
         self.scheduler = harness.scheduler
-        self.sock = connect(harness.scheduler, harness.address, clock() + PATIENCE_NS)
+        self.sock = connect(harness.scheduler, harness.address, clock() + TEST_TIMEOUT_NS)
         self.reader = http.Reader(response=True, limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
 
     def send(self, data: bytes) -> None:
@@ -190,7 +190,7 @@
         received = Received()
         received.message = None if self.reader.empty else self.reader.feed(b"")
         while received.message is None and (until is None or until not in received.raw):
-            self.scheduler.wait(self.sock.fileno(), READ, clock() + PATIENCE_NS)
+            self.scheduler.wait(self.sock.fileno(), READ, clock() + TEST_TIMEOUT_NS)
             try:
                 data = self.sock.recv(65536)
             except ConnectionResetError:
@@ -215,25 +215,25 @@
     plane: PlaneState
     listener: ClientListener
     failures: list[str]
-    servers: dict[str, StandInServer] = field(default_factory=dict)
+    servers: dict[str, FakeModelServer] = field(default_factory=dict)
     entries: list[ListedServer] = field(default_factory=list)
 
     @property
     def address(self) -> tuple[str, int]:
         return self.listener._listener.getsockname()
 
-    def serve(self, *answers: Answer, service: str = "pool", revision: int = 1) -> StandInServer:
+    def serve(self, *answers: ServerScript, service: str = "pool", revision: int = 1) -> FakeModelServer:
         """A further server on the list; of those that are equally busy the earlier one is asked first."""
-        return self.add(StandInServer(self.scheduler, answers), service, revision)
+        return self.add(FakeModelServer(self.scheduler, answers), service, revision)
 
-    def add(self, server: StandInServer, service: str = "pool", revision: int = 1) -> StandInServer:
+    def add(self, server: FakeModelServer, service: str = "pool", revision: int = 1) -> FakeModelServer:
         """Name a server on the list."""
         name = f"i-{len(self.entries)}"
         self.servers[name] = server
         self.entries.append(
             ListedServer(name, service, server.address, "zone", True, 8, ((MODEL, revision),))
         )
-        apply_list(self.plane, self.entries)
+        apply_server_list(self.plane, self.entries)
         self.known(name).others_inflight = len(self.entries) - 1
         return server
 
@@ -273,7 +273,7 @@
 
     def _turn(self) -> None:
         self.scheduler._stopped = False
-        guard = self.scheduler.call_at(clock() + PATIENCE_NS, self.scheduler.stop)
+        guard = self.scheduler.call_at(clock() + TEST_TIMEOUT_NS, self.scheduler.stop)
         self.scheduler.run()
         guard.cancel()
         assert not self.failures, "\n".join(self.failures)
@@ -328,16 +328,16 @@
     ).ok
     plane = PlaneState(settings, scheduler, Links(scheduler, 5 * NS_PER_S, 100, whole=0), random.Random(1))
     listener = ClientListener(
-        scheduler, LOOPBACK, lambda client, message, at: answer_request(plane, client, message, at), 50
+        scheduler, LOOPBACK, lambda client, message, at: handle_request(plane, client, message, at), 50
     )
     harness = Harness(scheduler, plane, listener, failures)
     harness.configure(document())
-    budget = plane.budget("pool")
+    budget = plane.retry_budget("pool")
     budget.tokens = budget.capacity  # as of a process that has been running for a while
     return harness
 
 
-def asking(prefix: str, attempt_id: str = "a1", lines: bytes = b"", body: bytes = b"") -> bytes:
+def client_request(prefix: str, attempt_id: str = "a1", lines: bytes = b"", body: bytes = b"") -> bytes:
     """A client's request on the route of that prefix."""
     fixed = (
         b"Host: h.example\r\nX-Iristrack-Attempt-Id: %b\r\nX-Iristrack-Time-Left-Ms: 9000\r\n"
@@ -352,7 +352,7 @@
 
 def stream_head(seal: bytes = b"s1") -> bytes:
     lines = b"Content-Type: text/event-stream\r\nX-Iristrack-Server-Seal: %b\r\n" % seal
-    return b"HTTP/1.1 200 OK\r\n" + lines + CHUNKED + b"\r\n"
+    return b"HTTP/1.1 200 OK\r\n" + lines + CHUNKED_LINE + b"\r\n"
 
 
 def stream(first: int, last: int, seal: bytes = b"s1") -> bytes:
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -7,12 +7,12 @@
 from iristrack.dataplane import clients
 from iristrack.http1 import messages as http
 from tests.dataplane.harness import (
-    SEALED,
+    SEAL_LINE,
     Client,
-    Conversation,
     Harness,
     Received,
-    asking,
+    ServerExchange,
+    client_request,
     event,
     named,
     stream,
@@ -22,8 +22,8 @@
 NS_PER_MS = 1_000_000
 
 
-def echo(conversation: Conversation) -> None:
-    conversation.send(named(http.response(200, conversation.id, SEALED), conversation.id))
+def echo(exchange: ServerExchange) -> None:
+    exchange.send(named(http.response(200, exchange.id, SEAL_LINE), exchange.id))
 
 
 def talk(harness: Harness, *sent: bytes) -> list[Received]:
@@ -42,7 +42,7 @@
 
 def test_a_connection_is_kept_from_request_to_request(harness: Harness) -> None:
     server = harness.serve(echo)
-    bodies = [r.body for r in talk(harness, *(asking("unsafe", f"a{n}") for n in range(5)))]
+    bodies = [r.body for r in talk(harness, *(client_request("unsafe", f"a{n}") for n in range(5)))]
     assert bodies == [b"a0", b"a1", b"a2", b"a3", b"a4"]
     assert server.opened == 1
 
@@ -53,7 +53,7 @@
 
     def call() -> tuple[Received, Received]:
         client = Client(harness)
-        client.send(asking(prefix, lines=b"Connection: close\r\n"))
+        client.send(client_request(prefix, lines=b"Connection: close\r\n"))
         return client.receive(), client.receive()
 
     ((answer, rest),) = harness.run(call)
@@ -63,7 +63,9 @@
 
 def older(prefix: str) -> bytes:
     """The request of a client that knows no chunks."""
-    return asking(prefix, lines=b"Connection: keep-alive\r\n").replace(b" HTTP/1.1\r\n", b" HTTP/1.0\r\n")
+    return client_request(prefix, lines=b"Connection: keep-alive\r\n").replace(
+        b" HTTP/1.1\r\n", b" HTTP/1.0\r\n"
+    )
 
 
 def ask_and_read_to_the_end(harness: Harness, request: bytes) -> Received:
@@ -87,14 +89,14 @@
 
 
 def test_a_stream_without_chunks_that_breaks_off_is_reset(harness: Harness) -> None:
-    harness.serve(lambda conversation: (conversation.send(stream(1, 3)[:-30]), conversation.reset()))
+    harness.serve(lambda exchange: (exchange.send(stream(1, 3)[:-30]), exchange.reset()))
     answer = ask_and_read_to_the_end(harness, older("stream"))
     assert (answer.end, answer.complete) == ("reset", False)
 
 
 def test_a_rejected_request_leaves_the_connection_as_it_is(harness: Harness) -> None:
     harness.serve(echo)
-    answers = talk(harness, asking("nowhere"), asking("safe", "a2"))
+    answers = talk(harness, client_request("nowhere"), client_request("safe", "a2"))
     assert [answer.status for answer in answers] == [404, 200]
 
 
@@ -105,14 +107,18 @@
         (b"GET /safe/x HTTP/2.0\r\n\r\n", 505),
         (b"GET /safe/x HTTP/1.1\r\nno field\r\n\r\n", 400),
         (b"GET /safe/x HTTP/1.1\r\nX: " + b"x" * 20_000, 431),
-        (asking("safe").removesuffix(b"\r\n") + b"Content-Length: 9999999\r\n\r\n", 413),
+        (client_request("safe").removesuffix(b"\r\n") + b"Content-Length: 9999999\r\n\r\n", 413),
         (
-            asking("safe").removesuffix(b"\r\n") + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
+            client_request("safe").removesuffix(b"\r\n")
+            + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
             400,
         ),
-        (asking("safe").removesuffix(b"\r\n") + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\n", 400),
-        (asking("safe").removesuffix(b"\r\n") + b"Transfer-Encoding: gzip\r\n\r\n", 400),
-        (asking("safe").removesuffix(b"\r\n") + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
+        (
+            client_request("safe").removesuffix(b"\r\n") + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\n",
+            400,
+        ),
+        (client_request("safe").removesuffix(b"\r\n") + b"Transfer-Encoding: gzip\r\n\r\n", 400),
+        (client_request("safe").removesuffix(b"\r\n") + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
     ],
 )
 def test_bytes_that_are_no_request_are_answered_and_the_connection_ends(harness, data, status) -> None:
@@ -120,7 +126,7 @@
 
     def call() -> tuple[Received, Received]:
         client = Client(harness)
-        client.send(data + asking("safe", "smuggled"))
+        client.send(data + client_request("safe", "smuggled"))
         return client.receive(), client.receive()
 
     ((answer, rest),) = harness.run(call)
@@ -135,7 +141,7 @@
     def call() -> Received:
         client = Client(harness)
         client.send(
-            asking("unsafe", lines=b"Expect: 100-continue\r\n").removesuffix(b"\r\n")
+            client_request("unsafe", lines=b"Expect: 100-continue\r\n").removesuffix(b"\r\n")
             + b"Content-Length: 4\r\n\r\n"
         )
         waiting = client.receive(until=b"100 Continue\r\n\r\n")
@@ -148,35 +154,35 @@
     assert server.header(b"expect") is None
 
 
-@pytest.mark.parametrize("data", [b"GET /sa", asking("safe")[:-2]])
+@pytest.mark.parametrize("data", [b"GET /sa", client_request("safe")[:-2]])
 def test_half_a_head_is_answered_when_its_time_is_over(harness: Harness, data: bytes) -> None:
-    harness.listener.header_ns = 20 * NS_PER_MS
+    harness.listener.header_timeout_ns = 20 * NS_PER_MS
     (answer,) = talk(harness, data)
     assert (answer.status, answer.header(b"connection")) == (408, b"close")
 
 
 def test_half_a_body_is_answered_when_its_time_is_over(harness: Harness, monkeypatch) -> None:
-    monkeypatch.setattr(clients, "BODY_PAUSE_NS", 20 * NS_PER_MS)
-    (answer,) = talk(harness, asking("unsafe", body=b"body")[:-2])
+    monkeypatch.setattr(clients, "BODY_READ_TIMEOUT_NS", 20 * NS_PER_MS)
+    (answer,) = talk(harness, client_request("unsafe", body=b"body")[:-2])
     assert answer.status == 408
 
 
 def test_an_idle_connection_ends_without_a_word(harness: Harness) -> None:
     harness.serve(echo)
-    harness.listener.idle_ns = 20 * NS_PER_MS
-    answer, rest = talk(harness, asking("safe"), b"")
+    harness.listener.idle_timeout_ns = 20 * NS_PER_MS
+    answer, rest = talk(harness, client_request("safe"), b"")
     assert answer.status == 200
     assert (rest.raw, rest.end) == (b"", "closed")
 
 
 def test_connections_are_bounded_and_the_next_one_waits_for_a_place(harness: Harness) -> None:
     harness.serve(echo)
-    harness.listener.most = 2
+    harness.listener.max_connections = 2
     order = []
 
     def holder() -> None:
         client = Client(harness)
-        client.send(asking("safe", "held"))
+        client.send(client_request("safe", "held"))
         client.receive()
         while not order:
             yield_turn(harness.scheduler)
@@ -186,7 +192,7 @@
         while len(harness.listener.connections) < 2:
             yield_turn(harness.scheduler)
         client = Client(harness)
-        client.send(asking("safe", "waited"))
+        client.send(client_request("safe", "waited"))
         begun = harness.scheduler.turns
         while harness.scheduler.turns < begun + 50:
             yield_turn(harness.scheduler)
@@ -201,11 +207,11 @@
 def test_ending_lets_answers_under_way_come_whole_and_ends_idle_connections(harness: Harness) -> None:
     going = []
 
-    def answer(conversation: Conversation) -> None:
-        conversation.send(named(stream(1, 1)[: -len(http.LAST_CHUNK)], conversation.id))
+    def answer(exchange: ServerExchange) -> None:
+        exchange.send(named(stream(1, 1)[: -len(http.LAST_CHUNK)], exchange.id))
         while not going:
-            yield_turn(conversation.server.scheduler)
-        conversation.send(http.chunk(event(2)) + http.LAST_CHUNK)
+            yield_turn(exchange.server.scheduler)
+        exchange.send(http.chunk(event(2)) + http.LAST_CHUNK)
 
     harness.serve(echo, answer)
     ended = []
@@ -213,12 +219,12 @@
 
     def call() -> tuple[Received, Received, Received]:
         idle, busy = Client(harness), Client(harness)
-        idle.send(asking("safe", "a1"))
+        idle.send(client_request("safe", "a1"))
         idle.receive()
-        busy.send(asking("stream", "a2"))
+        busy.send(client_request("stream", "a2"))
         begun = busy.receive(until=event(1))
         harness.listener.stop_accepting()
-        harness.listener.end_idle()
+        harness.listener.close_idle()
         idle_end = idle.receive()
         assert not ended
         going.append(True)
@@ -236,5 +242,5 @@
 def test_a_draining_plane_says_that_the_connection_ends(harness: Harness) -> None:
     harness.serve(echo)
     harness.plane.draining = True
-    (answer,) = talk(harness, asking("safe"))
+    (answer,) = talk(harness, client_request("safe"))
     assert (answer.status, answer.header(b"connection")) == (200, b"close")
--- a/tests/dataplane/test_connection_machine.py
+++ b/tests/dataplane/test_connection_machine.py
@@ -9,14 +9,22 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from iristrack.http1 import messages as http
-from tests.dataplane.harness import NOT_EXECUTED, SEALED, Client, Conversation, Received, asking, make_harness
+from tests.dataplane.harness import (
+    NOT_EXECUTED,
+    SEAL_LINE,
+    Client,
+    Received,
+    ServerExchange,
+    client_request,
+    make_harness,
+)
 
 SERVERS = 3
 STRANGER = b"for somebody else"
 
 
 def named(attempt_id: bytes, body: bytes | None = None) -> bytes:
-    lines = SEALED + b"X-Iristrack-Attempt-Id: %b\r\n" % attempt_id
+    lines = SEAL_LINE + b"X-Iristrack-Attempt-Id: %b\r\n" % attempt_id
     return http.response(200, attempt_id if body is None else body, lines)
 
 
@@ -28,49 +36,49 @@
         self.runs: Counter[bytes] = Counter()
         self.carried: dict[object, list[bytes]] = {}  # by connection: the ids of its requests so far
 
-    def answer(self, conversation: Conversation) -> None:
+    def answer(self, exchange: ServerExchange) -> None:
         behaviour = self.script.pop(0) if self.script else "sound"
-        earlier = self.carried.setdefault(conversation.sock, [])
+        earlier = self.carried.setdefault(exchange.sock, [])
         if behaviour == "turned away":
-            lines = NOT_EXECUTED + b"X-Iristrack-Attempt-Id: %b\r\n" % conversation.id
-            conversation.send(http.response(503, b"full", lines))
+            lines = NOT_EXECUTED + b"X-Iristrack-Attempt-Id: %b\r\n" % exchange.id
+            exchange.send(http.response(503, b"full", lines))
         else:
-            self.runs[conversation.id] += 1
-            getattr(self, f"_{behaviour}")(conversation, earlier)
-        earlier.append(conversation.id)
+            self.runs[exchange.id] += 1
+            getattr(self, f"_{behaviour}")(exchange, earlier)
+        earlier.append(exchange.id)
 
-    def _sound(self, conversation: Conversation, earlier: list[bytes]) -> None:
-        conversation.send(named(conversation.id))
+    def _sound(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(named(exchange.id))
 
-    def _doubled(self, conversation: Conversation, earlier: list[bytes]) -> None:
-        conversation.send(named(conversation.id) * 2)
+    def _doubled(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(named(exchange.id) * 2)
 
-    def _followed(self, conversation: Conversation, earlier: list[bytes]) -> None:
-        conversation.send(named(conversation.id))
-        conversation.send(http.response(200, STRANGER, SEALED))
+    def _followed(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(named(exchange.id))
+        exchange.send(http.response(200, STRANGER, SEAL_LINE))
 
-    def _late(self, conversation: Conversation, earlier: list[bytes]) -> None:
+    def _late(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
         """An answer to the connection's request before comes where this one's is due."""
         late = named(earlier[-1]) if earlier else b""
-        conversation.send(late + named(conversation.id))
+        exchange.send(late + named(exchange.id))
 
-    def _unnamed(self, conversation: Conversation, earlier: list[bytes]) -> None:
+    def _unnamed(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
         """Without a name it is this request's, or where there was another before, nobody knows whose."""
-        body = STRANGER if earlier else conversation.id
-        conversation.send(http.response(200, body, SEALED))
+        body = STRANGER if earlier else exchange.id
+        exchange.send(http.response(200, body, SEAL_LINE))
 
-    def _misnamed(self, conversation: Conversation, earlier: list[bytes]) -> None:
-        conversation.send(named(b"never-asked", STRANGER) + named(conversation.id))
+    def _misnamed(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(named(b"never-asked", STRANGER) + named(exchange.id))
 
-    def _cut(self, conversation: Conversation, earlier: list[bytes]) -> None:
-        conversation.send(named(conversation.id)[:-2])
-        conversation.close()
+    def _cut(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(named(exchange.id)[:-2])
+        exchange.close()
 
-    def _reset(self, conversation: Conversation, earlier: list[bytes]) -> None:
-        conversation.reset()
+    def _reset(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.reset()
 
-    def _spoilt(self, conversation: Conversation, earlier: list[bytes]) -> None:
-        conversation.send(b"HTTP/1.1 maybe\r\n\r\n")
+    def _spoilt(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(b"HTTP/1.1 maybe\r\n\r\n")
 
 
 BEHAVIOURS = st.lists(
@@ -113,7 +121,7 @@
         if prefix == "unsafe":
             self.unsafe.add(attempt_id.encode())
         self.servers.script = behaviours
-        received = self._exchange(asking(prefix, attempt_id), keep)
+        received = self._exchange(client_request(prefix, attempt_id), keep)
         if received.complete and received.status == 200:
             assert received.body == attempt_id.encode()
         if received.complete and received.status in (408, 421, 429, 503):
--- a/tests/dataplane/test_control_link.py
+++ b/tests/dataplane/test_control_link.py
@@ -282,7 +282,7 @@
     first, second = meet(linked, harness.plane.settings.zone), meet(linked, "elsewhere")
     (request,) = lease_requests(first)
     assert lease_requests(second) == []
-    linked.link._ask_for_key_lease()
+    linked.link._request_key_lease()
     assert lease_requests(first)
     assert lease_requests(second)
     assert not harness.plane.key_lease.is_valid(clock())
@@ -293,7 +293,7 @@
 
 def test_no_lease_is_asked_for_where_none_is_needed(linked: Linked) -> None:
     peer = meet(linked, linked.plane.settings.zone)
-    linked.link._ask_for_key_lease()
+    linked.link._request_key_lease()
     assert lease_requests(peer) == []
     assert linked.plane.key_lease.is_valid(clock())
 
--- a/tests/dataplane/test_core_view.py
+++ b/tests/dataplane/test_core_view.py
@@ -15,12 +15,12 @@
 
     def join(self, address: str, zone: str = "here") -> Peer:
         peer = Peer()
-        self.met(peer, Hello("n", "controlplane", "p", zone, "r", address))
+        self.add_member(peer, Hello("n", "controlplane", "p", zone, "r", address))
         return peer
 
     def tell(self, peer: Peer, sequence: int | None = None, in_quorum: bool = True) -> None:
         known = () if sequence is None else (Version("configuration", sequence),)
-        self.heard(peer, Heartbeat("n", "p", 1, known, in_quorum))
+        self.update_member(peer, Heartbeat("n", "p", 1, known, in_quorum))
 
 
 def test_a_member_without_a_quorum_is_no_hub_where_there_is_one_with() -> None:
--- a/tests/dataplane/test_early_responses.py
+++ b/tests/dataplane/test_early_responses.py
@@ -9,15 +9,23 @@
 
 from iristrack.http1 import messages as http
 from iristrack.runtime.scheduler import READ, WRITE, send_all
-from tests.dataplane.harness import SEALED, Client, Harness, StandInServer, asking, named, yield_turn
-
-SOUND = http.response(200, b"sound", SEALED)
+from tests.dataplane.harness import (
+    SEAL_LINE,
+    Client,
+    FakeModelServer,
+    Harness,
+    client_request,
+    named,
+    yield_turn,
+)
+
+SOUND = http.response(200, b"sound", SEAL_LINE)
 BODY = bytes(range(256)) * 40_000  # 10 MB: far more than the kernel holds for a connection
 HEAD_END = b"\r\n\r\n"
 UNREAD_TURNS = 20
 
 
-class EarlyServer(StandInServer):
+class EarlyServer(FakeModelServer):
     """Answers each request after its head, reads the body a while later, and keeps the connection."""
 
     def __init__(self, scheduler, reads_on: bool) -> None:
@@ -64,8 +72,8 @@
         return data
 
 
-def add(harness: Harness, reads_on: bool) -> StandInServer:
-    harness.listener.most_body = len(BODY)
+def add(harness: Harness, reads_on: bool) -> FakeModelServer:
+    harness.listener.max_body_bytes = len(BODY)
     return harness.add(EarlyServer(harness.scheduler, reads_on))
 
 
@@ -79,7 +87,7 @@
         client = Client(harness)
         statuses = []
         for number in range(3):
-            client.send(asking(prefix, f"a{number}", body=BODY))
+            client.send(client_request(prefix, f"a{number}", body=BODY))
             statuses.append(client.receive().status)
         client.leave()
         return statuses
@@ -93,6 +101,6 @@
 def test_an_early_answer_on_a_connection_that_ends_is_no_reason_to_run_it_twice(harness: Harness) -> None:
     server = add(harness, reads_on=False)
     other = harness.serve(SOUND)
-    answer = harness.ask(asking("unsafe", body=BODY))
+    answer = harness.ask(client_request("unsafe", body=BODY))
     assert answer.status in (200, 502)
     assert (len(server.read_before), len(other.requests)) == (1, 0)
--- a/tests/dataplane/test_event_loop_sharing.py
+++ b/tests/dataplane/test_event_loop_sharing.py
@@ -14,7 +14,7 @@
 from iristrack.dataplane.events import EventSplitter
 from iristrack.http1.connection import Link
 from iristrack.runtime.scheduler import Scheduler, clock
-from tests.dataplane.harness import PATIENCE_NS, yield_turn
+from tests.dataplane.harness import TEST_TIMEOUT_NS, yield_turn
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Iristrack-Server-Seal: s1\r\n\r\n"
 PIECE = b"data: no end\n"
@@ -52,14 +52,14 @@
     link = Link(scheduler, sock, None)
     links = SimpleNamespace(take=lambda instance, until: link, close=lambda closed: closed.sock.close())
     return Attempt(
-        scheduler, links, SimpleNamespace(instance_id="i-0"), SimpleNamespace(left=False), deadline
+        scheduler, links, SimpleNamespace(instance_id="i-0"), SimpleNamespace(disconnected=False), deadline
     )
 
 
 def read_all(attempt: Attempt) -> None:
     attempt.send(b"a request", lambda: True)
     attempt.read_head(b"a1")
-    for _ in attempt.pieces():
+    for _ in attempt.read_body():
         pass
 
 
@@ -72,7 +72,7 @@
 
 def test_other_tasks_run_between_two_reads_of_an_answer_that_never_pauses(sock: EndlessSocket) -> None:
     scheduler = Scheduler()
-    attempt = attempt_at(scheduler, sock, clock() + PATIENCE_NS)
+    attempt = attempt_at(scheduler, sock, clock() + TEST_TIMEOUT_NS)
     reads: list[int] = []
 
     def other() -> None:
@@ -113,7 +113,7 @@
     pieces = [PIECE * 50] * 400
     for piece in pieces:
         assert splitter.feed(piece) == []
-        assert splitter.searched == len(splitter.rest)
+        assert splitter.searched_bytes == len(splitter.remainder)
     (event,) = splitter.feed(b"\n")
     assert len(event.data) == sum(map(len, pieces)) + 1
 
--- a/tests/dataplane/test_events.py
+++ b/tests/dataplane/test_events.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.dataplane.events import MOST_EVENT, Event, EventSplitter, EventTooLarge
+from iristrack.dataplane.events import MAX_EVENT_BYTES, Event, EventSplitter, EventTooLarge
 
 LINE_ENDS = st.sampled_from([b"\n", b"\r\n", b"\r"])
 LINES = st.sampled_from([b"id: %d", b"id:%d", b"data: %d", b": %d", b"versions: %d", b"event: e%d", b"data"])
@@ -22,7 +22,7 @@
 def fed(pieces: list[bytes]) -> tuple[list[Event], bytes]:
     splitter = EventSplitter()
     events = [event for piece in pieces for event in splitter.feed(piece)]
-    return events, splitter.rest
+    return events, splitter.remainder
 
 
 def cut(data: bytes, places: list[int]) -> list[bytes]:
@@ -71,20 +71,20 @@
     assert (first.id, second.id) == (None, 4)
 
 
-@pytest.mark.parametrize("step", [MOST_EVENT // 8, MOST_EVENT // 3, MOST_EVENT])
+@pytest.mark.parametrize("step", [MAX_EVENT_BYTES // 8, MAX_EVENT_BYTES // 3, MAX_EVENT_BYTES])
 def test_an_event_without_an_end_is_refused(step: int) -> None:
     splitter = EventSplitter()
     held = 0
     with pytest.raises(EventTooLarge):
         for _ in range(10):
-            held = len(splitter.rest)
+            held = len(splitter.remainder)
             splitter.feed(b"x" * step)
-    assert held <= MOST_EVENT
+    assert held <= MAX_EVENT_BYTES
 
 
 def test_an_event_at_the_bound_passes_and_ended_events_do_not_count() -> None:
     splitter = EventSplitter()
-    whole = b"data: x\n\n" * (MOST_EVENT // 8)
-    assert len(splitter.feed(whole)) == MOST_EVENT // 8
-    assert splitter.feed(b"x" * (MOST_EVENT - 1)) == []
-    assert [len(event.data) for event in splitter.feed(b"\n\n")] == [MOST_EVENT + 1]
+    whole = b"data: x\n\n" * (MAX_EVENT_BYTES // 8)
+    assert len(splitter.feed(whole)) == MAX_EVENT_BYTES // 8
+    assert splitter.feed(b"x" * (MAX_EVENT_BYTES - 1)) == []
+    assert [len(event.data) for event in splitter.feed(b"\n\n")] == [MAX_EVENT_BYTES + 1]
--- a/tests/dataplane/test_late_reasons.py
+++ b/tests/dataplane/test_late_reasons.py
@@ -21,9 +21,9 @@
 def lateness(began=0, sent=1, own=0, others=0, fetches=False, words=(100,)) -> RequestTiming:
     """Times in ms from the arrival."""
     told = RequestTiming(0, began * MS)
-    told.sent(sent * MS, own, others, fetches)
+    told.record_sent(sent * MS, own, others, fetches)
     for word in words:
-        told.passed_on(word * MS)
+        told.record_output(word * MS)
     return told
 
 
@@ -49,6 +49,6 @@
     counts = LateCounts()
     for reason in (LateReason.WAIT, None, LateReason.WAIT, LateReason.READ):
         counts.count(reason)
-    figures = counts.figures()
+    figures = counts.metrics()
     assert (figures["late_wait"], figures["late_read"], figures["late_start"]) == (2, 1, 0)
     assert len(figures) == len(LateReason)
--- a/tests/dataplane/test_client_disconnects.py
+++ b/tests/dataplane/test_leaving.py
@@ -9,12 +9,12 @@
 from iristrack.http1 import messages as http
 from tests.dataplane.harness import (
     RESET_ON_CLOSE,
-    SEALED,
+    SEAL_LINE,
     Client,
-    Conversation,
     Harness,
-    asking,
+    ServerExchange,
     chunks,
+    client_request,
     event,
     named,
     stream_head,
@@ -41,8 +41,8 @@
 
 @pytest.mark.parametrize("prefix", ["safe", "unsafe", "stream", "resumable"])
 def test_a_server_that_works_for_nobody_is_let_go(harness: Harness, prefix: str) -> None:
-    server, other = harness.serve(Conversation.wait_for_end), harness.serve(b"")
-    leave_when(harness, asking(prefix), lambda: server.requests)
+    server, other = harness.serve(ServerExchange.wait_until_closed), harness.serve(b"")
+    leave_when(harness, client_request(prefix), lambda: server.requests)
     harness.turn_until(lambda: server.ended == 1)
     harness.turn_until(lambda: not harness.listener.connections)
     assert other.requests == []
@@ -52,22 +52,22 @@
 
 
 def test_a_server_in_the_middle_of_a_stream_is_let_go(harness: Harness) -> None:
-    def answer(conversation: Conversation) -> None:
-        conversation.send(stream_head() + chunks(1, 1))
-        conversation.wait_for_end()
+    def answer(exchange: ServerExchange) -> None:
+        exchange.send(stream_head() + chunks(1, 1))
+        exchange.wait_until_closed()
 
     server = harness.serve(answer)
-    leave_when(harness, asking("resumable"), lambda: True, until=event(1))
+    leave_when(harness, client_request("resumable"), lambda: True, until=event(1))
     harness.turn_until(lambda: server.ended == 1)
     assert harness.plane.counters.client_left == 1
 
 
 def test_a_client_that_resets_its_connection_has_left_too(harness: Harness) -> None:
-    server = harness.serve(Conversation.wait_for_end)
+    server = harness.serve(ServerExchange.wait_until_closed)
 
     def call() -> None:
         client = Client(harness)
-        client.send(asking("unsafe"))
+        client.send(client_request("unsafe"))
         turn_until_holds(harness, lambda: server.requests)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         client.leave()
@@ -77,14 +77,18 @@
 
 
 def test_the_next_request_sent_early_is_no_leaving(harness: Harness) -> None:
-    def answer(conversation: Conversation) -> None:
-        conversation.send(named(http.response(200, conversation.id, SEALED), conversation.id))
+    def answer(exchange: ServerExchange) -> None:
+        exchange.send(named(http.response(200, exchange.id, SEAL_LINE), exchange.id))
 
     harness.serve(answer)
 
     def call() -> list[bytes]:
         client = Client(harness)
-        client.send(asking("unsafe", "a1") + asking("unsafe", "a2") + asking("stream", "a3")[:20])
+        client.send(
+            client_request("unsafe", "a1")
+            + client_request("unsafe", "a2")
+            + client_request("stream", "a3")[:20]
+        )
         bodies = [client.receive().body, client.receive().body]
         client.leave()
         return bodies
@@ -93,13 +97,13 @@
 
 
 def test_a_client_that_leaves_behind_an_early_request_is_noticed(harness: Harness) -> None:
-    server = harness.serve(Conversation.wait_for_end)
+    server = harness.serve(ServerExchange.wait_until_closed)
 
     def call() -> None:
         client = Client(harness)
-        client.send(asking("short", "a1"))
+        client.send(client_request("short", "a1"))
         turn_until_holds(harness, lambda: server.requests)
-        client.send(asking("safe", "a2")[:20])
+        client.send(client_request("safe", "a2")[:20])
         turns = harness.scheduler.turns
         turn_until_holds(harness, lambda: harness.scheduler.turns > turns + 20)
         client.leave()
--- a/tests/dataplane/test_request_headers.py
+++ b/tests/dataplane/test_request_headers.py
@@ -12,16 +12,16 @@
 from tests.dataplane.harness import (
     MODEL,
     NOT_EXECUTED,
-    SEALED,
-    Conversation,
+    SEAL_LINE,
     Harness,
-    asking,
+    ServerExchange,
+    client_request,
     document,
     yield_turn,
 )
 
 NS_PER_MS = 1_000_000
-SOUND = http.response(200, b"sound", SEALED)
+SOUND = http.response(200, b"sound", SEAL_LINE)
 FULL = http.response(503, b"full", NOT_EXECUTED)
 STORE = "172.20.0.2:8165"
 PROMPT = b"X-Iristrack-Model: daka510000\r\nX-Iristrack-Token-Count: 3000,90\r\n"
@@ -63,7 +63,7 @@
 
 def test_a_body_in_chunks_arrives_whole(harness: Harness) -> None:
     server = harness.serve(SOUND)
-    head, _, _ = asking("unsafe").replace(b"GET", b"POST").partition(b"Content-Length")
+    head, _, _ = client_request("unsafe").replace(b"GET", b"POST").partition(b"Content-Length")
     body = http.chunk(b"one ") + http.chunk(b"two") + http.LAST_CHUNK
     request = head.removesuffix(b"\r\n") + b"Transfer-Encoding: chunked\r\n\r\n" + body
     assert harness.ask(request).status == 200
@@ -73,7 +73,7 @@
 def test_lines_of_the_clients_connection_stay_there(harness: Harness) -> None:
     server = harness.serve(SOUND)
     lines = b"Connection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nTE: trailers\r\n"
-    harness.ask(asking("safe", lines=lines))
+    harness.ask(client_request("safe", lines=lines))
     assert {b"connection", b"x-hop", b"keep-alive", b"te"}.isdisjoint(server.requests[0].head.fields)
 
 
@@ -83,7 +83,7 @@
         b"X-Iristrack-Tenant: forged\r\nX-Iristrack-Expect-Instance: i-9\r\nExpect-Version: 9\r\nCache-Salt: x\r\n"
         b"Kv-Fetch: 9.9.9.9:9\r\nKv-Save: 9.9.9.9:9\r\nPriority: 0\r\nLast-Event-Id: nine\r\n"
     )
-    assert harness.ask(asking("safe", lines=forged)).status == 200
+    assert harness.ask(client_request("safe", lines=forged)).status == 200
     fields = server.requests[0].head.fields
     hidden = (
         b"x-iristrack-tenant",
@@ -107,7 +107,7 @@
     server = harness.serve(SOUND)
     for key, tenant, priority in (("key-o", b"north", b"1"), ("key-s", b"south", b"4")):
         lines = key_line(key) + b"X-Iristrack-Tenant: other\r\n"
-        assert harness.ask(asking("safe", lines=lines)).status == 200
+        assert harness.ask(client_request("safe", lines=lines)).status == 200
         assert b"authorization" not in server.requests[-1].head.fields
         assert key.encode() not in server.requests[-1].head.raw
         assert server.header(b"x-iristrack-tenant") == tenant
@@ -127,7 +127,9 @@
 def test_without_a_known_key_no_server_is_asked(harness: Harness, lines: bytes) -> None:
     harness.configure(document(tenants=TENANTS))
     server = harness.serve(SOUND)
-    assert harness.ask(asking("safe", lines=lines)).status == (400 if lines.count(b"key-n") == 2 else 401)
+    assert harness.ask(client_request("safe", lines=lines)).status == (
+        400 if lines.count(b"key-n") == 2 else 401
+    )
     assert server.requests == []
 
 
@@ -136,7 +138,7 @@
     harness.configure(document(tenants=[{"label": "north", "api_keys": ["kl\u00fc\u00e7"]}]))
     server = harness.serve(SOUND)
     line = b"Authorization: Bearer " + "kl\u00fc\u00e7".encode(spelling) + b"\r\n"
-    assert harness.ask(asking("safe", lines=line)).status == 200
+    assert harness.ask(client_request("safe", lines=line)).status == 200
     assert server.header(b"x-iristrack-tenant") == b"north"
 
 
@@ -148,14 +150,14 @@
 ) -> None:
     harness.configure(document(tenants=TENANTS))
     server = harness.serve(SOUND)
-    assert harness.ask(asking("public", lines=lines)).status == 200
+    assert harness.ask(client_request("public", lines=lines)).status == 200
     assert server.header(b"authorization") is None
     assert server.header(b"x-iristrack-tenant") == tenant
 
 
 def test_without_tenants_authorization_is_the_servers(harness: Harness) -> None:
     server = harness.serve(SOUND)
-    harness.ask(asking("safe", lines=key_line("key-n") + b"X-Iristrack-Tenant: forged\r\n"))
+    harness.ask(client_request("safe", lines=key_line("key-n") + b"X-Iristrack-Tenant: forged\r\n"))
     assert server.header(b"authorization") == b"Bearer key-n"
     assert server.header(b"x-iristrack-tenant") is None
 
@@ -163,9 +165,9 @@
 def test_a_key_that_was_taken_away_ends_with_the_configuration(harness: Harness) -> None:
     server = harness.serve(SOUND)
     harness.configure(document(tenants=TENANTS))
-    assert harness.ask(asking("safe", lines=key_line("key-o"))).status == 200
+    assert harness.ask(client_request("safe", lines=key_line("key-o"))).status == 200
     harness.configure(document(tenants=[TENANTS[0] | {"api_keys": ["key-n"]}, TENANTS[1]]))
-    assert harness.ask(asking("safe", lines=key_line("key-o"))).status == 401
+    assert harness.ask(client_request("safe", lines=key_line("key-o"))).status == 401
     assert len(server.requests) == 1
 
 
@@ -181,7 +183,7 @@
     )
     server = harness.serve(SOUND)
     for number in range(len(labels)):
-        harness.ask(asking("safe", lines=PROMPT + PARTS + key_line(f"key-{number}")))
+        harness.ask(client_request("safe", lines=PROMPT + PARTS + key_line(f"key-{number}")))
     fields = [message.head.fields for message in server.requests]
     for name in (b"x-iristrack-tenant", b"cache-salt"):
         assert len({found[name] for found in fields}) == len(labels)
@@ -191,7 +193,7 @@
     label = "a\r\nX-Forged: b"
     harness.configure(document(tenants=[{"label": label, "api_keys": ["key"], "isolated": True}]))
     server = harness.serve(SOUND)
-    harness.ask(asking("safe", lines=PROMPT + PARTS + key_line("key")))
+    harness.ask(client_request("safe", lines=PROMPT + PARTS + key_line("key")))
     assert all(b"x-forged" not in message.head.fields for message in server.requests)
 
 
@@ -199,27 +201,27 @@
 
 
 def test_the_time_left_shrinks_from_one_server_to_the_next(harness: Harness) -> None:
-    def late(conversation: Conversation) -> None:
+    def late(exchange: ServerExchange) -> None:
         answered_at = clock() + 2 * NS_PER_MS  # the header has whole milliseconds
         while clock() < answered_at:
-            yield_turn(conversation.server.scheduler)
-        conversation.send(FULL)
+            yield_turn(exchange.server.scheduler)
+        exchange.send(FULL)
 
     first, second = harness.serve(late), harness.serve(SOUND)
-    harness.ask(asking("unsafe"))
+    harness.ask(client_request("unsafe"))
     told = [int(server.header(b"x-iristrack-time-left-ms")) for server in (first, second)]
     assert 0 < told[1] < told[0] <= 9000
 
 
 def test_the_routes_timeout_bounds_the_time_left(harness: Harness) -> None:
     server = harness.serve(SOUND)
-    harness.ask(asking("short"))
+    harness.ask(client_request("short"))
     assert 0 < int(server.header(b"x-iristrack-time-left-ms")) <= 250
 
 
 def test_each_server_is_named_as_the_one_that_is_meant(harness: Harness) -> None:
     servers = [harness.serve(FULL), harness.serve(SOUND)]
-    harness.ask(asking("unsafe"))
+    harness.ask(client_request("unsafe"))
     assert [server.header(b"x-iristrack-expect-instance") for server in servers] == [b"i-0", b"i-1"]
 
 
@@ -227,7 +229,7 @@
 def test_the_priority_keeps_within_its_bounds(harness: Harness, priority: int, told: bytes) -> None:
     harness.configure(document(tenants=[TENANTS[0] | {"priority": priority}]))
     server = harness.serve(SOUND)
-    harness.ask(asking("safe", lines=key_line("key-n")))
+    harness.ask(client_request("safe", lines=key_line("key-n")))
     assert server.header(b"priority") == told
 
 
@@ -236,7 +238,7 @@
 
 def test_salt_and_version_are_those_of_the_server_that_is_sent_to(harness: Harness) -> None:
     first, second = harness.serve(FULL, revision=3), harness.serve(SOUND, revision=4)
-    harness.ask(asking("safe", lines=PROMPT + PARTS))
+    harness.ask(client_request("safe", lines=PROMPT + PARTS))
     assert (first.header(b"expect-version"), first.header(b"cache-salt")) == (b"3", salt(3))
     assert (second.header(b"expect-version"), second.header(b"cache-salt")) == (b"4", salt(4))
 
@@ -246,14 +248,14 @@
     server = harness.serve(SOUND)
     salts = []
     for key in ("key-n", "key-s"):
-        harness.ask(asking("safe", lines=PROMPT + PARTS + key_line(key)))
+        harness.ask(client_request("safe", lines=PROMPT + PARTS + key_line(key)))
         salts.append(server.header(b"cache-salt"))
     assert salts == [salt(1), salt(1, "south")]
 
 
 def test_a_prompt_without_a_model_is_told_nothing_of_kept_parts(harness: Harness) -> None:
     server = harness.serve(SOUND)
-    harness.ask(asking("safe", lines=PARTS))
+    harness.ask(client_request("safe", lines=PARTS))
     assert {b"cache-salt", b"expect-version", b"kv-fetch", b"kv-save"}.isdisjoint(
         server.requests[0].head.fields
     )
@@ -263,7 +265,7 @@
     server, other = harness.serve(SOUND), harness.serve(SOUND)
     keep(harness, other.address, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 1000))
     harness.known("i-1").inflight = 60  # too busy to be sent to
-    harness.ask(asking("safe", lines=PROMPT + PARTS))
+    harness.ask(client_request("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") == other.address.encode()
     assert server.header(b"kv-save") == STORE.encode()
 
@@ -272,7 +274,7 @@
     server, other = harness.serve(SOUND), harness.serve(SOUND)
     keep(harness, other.address, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 30))
     keep(harness, server.address, cache_salt(MODEL, 1, None), ("aa", 1500))
-    harness.ask(asking("safe", lines=PROMPT + PARTS))
+    harness.ask(client_request("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") is None
 
 
@@ -281,21 +283,21 @@
     server, other = harness.serve(SOUND), harness.serve(SOUND)
     keep(harness, other.address, cache_salt(*maker), ("aa", 1500), ("bb", 1000))
     keep(harness, STORE, cache_salt(*maker), ("aa", 1500), ("bb", 1000))
-    harness.ask(asking("safe", lines=PROMPT + PARTS))
+    harness.ask(client_request("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") is None
 
 
 def test_what_the_store_keeps_already_is_fetched_there_and_not_saved_again(harness: Harness) -> None:
     server = harness.serve(SOUND)
     keep(harness, STORE, cache_salt(MODEL, 1, None), ("aa", 1500), ("bb", 1000))
-    harness.ask(asking("safe", lines=PROMPT + PARTS))
+    harness.ask(client_request("safe", lines=PROMPT + PARTS))
     assert server.header(b"kv-fetch") == STORE.encode()
     assert server.header(b"kv-save") is None
 
 
 def test_a_prompt_of_one_part_of_its_own_is_neither_fetched_nor_saved(harness: Harness) -> None:
     server = harness.serve(SOUND)
-    harness.ask(asking("safe", lines=PROMPT + b"X-Iristrack-Prompt-Prefix: aa:1500\r\n"))
+    harness.ask(client_request("safe", lines=PROMPT + b"X-Iristrack-Prompt-Prefix: aa:1500\r\n"))
     assert server.header(b"cache-salt") == salt(1)
     assert server.header(b"kv-fetch") is None
     assert server.header(b"kv-save") is None
@@ -306,41 +308,43 @@
 
 def test_servers_without_the_model_are_not_asked(harness: Harness) -> None:
     server = harness.serve(SOUND)
-    assert harness.ask(asking("safe", lines=b"X-Iristrack-Model: other\r\n")).status == 503
+    assert harness.ask(client_request("safe", lines=b"X-Iristrack-Model: other\r\n")).status == 503
     assert server.requests == []
 
 
 def test_the_version_that_an_answer_tells_counts_at_once(harness: Harness) -> None:
-    server = harness.serve(http.response(200, b"x", SEALED + b"Versions: 6\r\n"))
+    server = harness.serve(http.response(200, b"x", SEAL_LINE + b"Versions: 6\r\n"))
     for _ in range(2):
-        harness.ask(asking("safe", lines=PROMPT + PARTS))
+        harness.ask(client_request("safe", lines=PROMPT + PARTS))
     assert [server.header(b"expect-version", number) for number in (0, 1)] == [b"1", b"6"]
 
 
 def test_a_server_whose_weights_were_not_those_expected_tells_which_it_has(harness: Harness) -> None:
     harness.serve(http.response(421, b"", b"Versions: 5\r\n"))
     harness.serve(SOUND)
-    assert harness.ask(asking("unsafe", lines=PROMPT)).status == 200
+    assert harness.ask(client_request("unsafe", lines=PROMPT)).status == 200
     assert harness.known("i-0").revisions == {MODEL: 5}
 
 
 def test_a_long_prompt_counts_in_pieces_until_the_first_token(harness: Harness) -> None:
     seen = []
 
-    def answer(conversation: Conversation) -> None:
+    def answer(exchange: ServerExchange) -> None:
         server = harness.known("i-0")
         seen.append((server.inflight, server.pending_chunks))
-        conversation.send(SOUND)
+        exchange.send(SOUND)
 
     harness.serve(answer)
-    harness.ask(asking("safe", lines=PROMPT))
+    harness.ask(client_request("safe", lines=PROMPT))
     assert seen == [(1, -(-3000 // PREFILL_CHUNK_TOKENS))]
 
 
 @pytest.mark.parametrize("told", [b"4243.99999999907", b"1.0000000000000000000001", b"9000.0"])
 def test_a_time_left_is_read_as_computers_write_it(harness: Harness, told: bytes) -> None:
     harness.serve(SOUND)
-    request = asking("safe").replace(b"X-Iristrack-Time-Left-Ms: 9000", b"X-Iristrack-Time-Left-Ms: " + told)
+    request = client_request("safe").replace(
+        b"X-Iristrack-Time-Left-Ms: 9000", b"X-Iristrack-Time-Left-Ms: " + told
+    )
     assert harness.ask(request).status in (200, 503, 504)  # by how much is left, and never 400
 
 
@@ -353,5 +357,5 @@
 ) -> None:
     harness.configure(document(tenants=[{"label": tenant, "api_keys": ["key-n"]}]))
     server = harness.serve(SOUND)
-    harness.ask(asking("safe", lines=key_line("key-n")))
+    harness.ask(client_request("safe", lines=key_line("key-n")))
     assert server.header(b"x-iristrack-tenant") == told
--- a/tests/dataplane/test_single_flight.py
+++ b/tests/dataplane/test_single_flight.py
@@ -3,9 +3,17 @@
 from __future__ import annotations
 
 from iristrack.http1 import messages as http
-from tests.dataplane.harness import MODEL, SEALED, Client, Conversation, Harness, asking, yield_turn
-
-DONE = http.response(200, b"done", SEALED)
+from tests.dataplane.harness import (
+    MODEL,
+    SEAL_LINE,
+    Client,
+    Harness,
+    ServerExchange,
+    client_request,
+    yield_turn,
+)
+
+DONE = http.response(200, b"done", SEAL_LINE)
 LINES = b"X-Iristrack-Model: %b\r\nX-Iristrack-Token-Count: %d,9\r\nX-Iristrack-Prompt-Prefix: %b\r\n"
 REQUESTS = 3
 
@@ -20,10 +28,10 @@
     def arrived() -> int:
         return sum(len(server.requests) for server in harness.servers.values())
 
-    def hold(conversation: Conversation) -> None:
+    def hold(exchange: ServerExchange) -> None:
         while arrived() < len(lines):
             yield_turn(harness.scheduler)
-        conversation.send(DONE)
+        exchange.send(DONE)
 
     for server in (harness.serve(hold), harness.serve(hold)):
         assert server.requests == []
@@ -32,7 +40,7 @@
         while arrived() < number:
             yield_turn(harness.scheduler)
         client = Client(harness)
-        client.send(asking("safe", f"a{number}", lines[number]))
+        client.send(client_request("safe", f"a{number}", lines[number]))
         assert client.receive().status == 200
         client.leave()
 
@@ -55,6 +63,6 @@
 
 
 def test_a_reader_that_fails_is_none_any_more(harness: Harness) -> None:
-    harness.serve(lambda conversation: conversation.reset())
-    harness.ask(asking("once", "a1", prompt("c1")))
+    harness.serve(lambda exchange: exchange.reset())
+    harness.ask(client_request("once", "a1", prompt("c1")))
     assert len(harness.plane.pending_prefills) == 0
--- a/tests/dataplane/test_streams.py
+++ b/tests/dataplane/test_streams.py
@@ -9,10 +9,10 @@
 from iristrack.http1 import messages as http
 from tests.dataplane.harness import (
     Client,
-    Conversation,
     Harness,
-    asking,
+    ServerExchange,
     chunks,
+    client_request,
     event,
     events,
     make_harness,
@@ -23,9 +23,9 @@
 
 
 def breaking_after(data: bytes, end: str = "close"):
-    def answer(conversation: Conversation) -> None:
-        conversation.send(data)
-        getattr(conversation, end)()
+    def answer(exchange: ServerExchange) -> None:
+        exchange.send(data)
+        getattr(exchange, end)()
 
     return answer
 
@@ -33,9 +33,9 @@
 def resuming(last: int, repeated: int = 0, seal: bytes = b"s2"):
     """A server that goes on behind `Last-Event-Id`, after sending so many of the events before it again."""
 
-    def answer(conversation: Conversation) -> None:
-        known = int(conversation.message.head.fields.get(b"last-event-id", b"0"))
-        conversation.send(stream(max(1, known + 1 - repeated), last, seal))
+    def answer(exchange: ServerExchange) -> None:
+        known = int(exchange.message.head.fields.get(b"last-event-id", b"0"))
+        exchange.send(stream(max(1, known + 1 - repeated), last, seal))
 
     return answer
 
@@ -44,19 +44,19 @@
 def test_events_come_as_they_are_and_one_by_one(harness: Harness, prefix: str) -> None:
     passed: list[int] = []
 
-    def answer(conversation: Conversation) -> None:
-        conversation.send(stream_head())
+    def answer(exchange: ServerExchange) -> None:
+        exchange.send(stream_head())
         for number in range(1, 5):
-            conversation.send(chunks(number, number))
+            exchange.send(chunks(number, number))
             while len(passed) < number:  # the next one only when the client has this one
-                yield_turn(conversation.server.scheduler)
-        conversation.send(http.LAST_CHUNK)
+                yield_turn(exchange.server.scheduler)
+        exchange.send(http.LAST_CHUNK)
 
     harness.serve(answer)
 
     def call() -> bytes:
         client = Client(harness)
-        client.send(asking(prefix))
+        client.send(client_request(prefix))
         raw = b""
         for number in range(1, 5):
             raw += client.receive(until=event(number)).raw
@@ -73,17 +73,17 @@
     half, rest = event(2)[:5], event(2)[5:]
     seen: list[bytes] = []
 
-    def answer(conversation: Conversation) -> None:
-        conversation.send(stream_head() + http.chunk(event(1) + half))
+    def answer(exchange: ServerExchange) -> None:
+        exchange.send(stream_head() + http.chunk(event(1) + half))
         while not seen:
-            yield_turn(conversation.server.scheduler)
-        conversation.send(http.chunk(rest) + http.LAST_CHUNK)
+            yield_turn(exchange.server.scheduler)
+        exchange.send(http.chunk(rest) + http.LAST_CHUNK)
 
     harness.serve(answer)
 
     def call() -> bytes:
         client = Client(harness)
-        client.send(asking("stream"))
+        client.send(client_request("stream"))
         seen.append(client.receive(until=event(1)).raw)
         return client.receive().raw
 
@@ -99,7 +99,7 @@
 ) -> None:
     cut = stream_head() + chunks(1, 3) + (http.chunk(partial) if partial else b"")
     first, second = harness.serve(breaking_after(cut, end)), harness.serve(resuming(6))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert (answer.status, answer.body, answer.end) == (200, events(1, 6), "open")
     assert answer.header(b"x-iristrack-server-seal") == b"s1"  # of the server that it came from first
     assert first.header(b"last-event-id") is None
@@ -121,10 +121,10 @@
     """The client goes on behind event `begun`; two servers cut what they send, the third goes on to event 9."""
 
     def cutting(length: int, seal: bytes):
-        def answer(conversation: Conversation) -> None:
-            known = int(conversation.message.head.fields.get(b"last-event-id", b"0"))
-            conversation.send(stream_head(seal) + chunks(max(1, known + 1 - again), 9)[:length])
-            conversation.reset() if reset else conversation.close()
+        def answer(exchange: ServerExchange) -> None:
+            known = int(exchange.message.head.fields.get(b"last-event-id", b"0"))
+            exchange.send(stream_head(seal) + chunks(max(1, known + 1 - again), 9)[:length])
+            exchange.reset() if reset else exchange.close()
 
         return answer
 
@@ -132,7 +132,7 @@
     servers = [harness.serve(cutting(first_cut, b"s1")), harness.serve(cutting(second_cut, b"s2"))]
     servers.append(harness.serve(resuming(9, again, b"s3")))
     lines = b"Last-Event-Id: %d\r\n" % begun if begun else b""
-    assert harness.ask(asking("resumable", lines=lines)).body == events(begun + 1, 9)
+    assert harness.ask(client_request("resumable", lines=lines)).body == events(begun + 1, 9)
     assert [len(server.requests) for server in servers] == [1, 1, 1]
     for server in servers:
         server.stop()
@@ -143,21 +143,21 @@
     harness.serve(breaking_after(stream_head() + chunks(1, 2)))
     harness.serve(breaking_after(stream_head(b"s2") + chunks(3, 4), "reset"))
     third = harness.serve(resuming(6, seal=b"s3"))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert (answer.body, third.header(b"last-event-id")) == (events(1, 6), b"4")
 
 
 def test_events_that_come_again_are_left_out(harness: Harness) -> None:
     harness.serve(breaking_after(stream_head() + chunks(1, 3)))
     harness.serve(resuming(6, repeated=2))
-    assert harness.ask(asking("resumable")).body == events(1, 6)
+    assert harness.ask(client_request("resumable")).body == events(1, 6)
 
 
 def test_the_last_event_counts_where_lines_without_an_id_stand_behind_it(harness: Harness) -> None:
     comment = b": still here\n\n"
     harness.serve(breaking_after(stream_head() + http.chunk(events(1, 3) + comment)))
     second = harness.serve(resuming(5))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert second.header(b"last-event-id") == b"3"
     assert answer.body == events(1, 3) + comment + events(4, 5)
 
@@ -165,14 +165,14 @@
 def test_a_stream_cut_before_its_first_event_begins_at_the_next_server(harness: Harness) -> None:
     harness.serve(breaking_after(stream_head()))
     second = harness.serve(resuming(3))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert (answer.body, second.header(b"last-event-id")) == (events(1, 3), None)
     assert answer.header(b"x-iristrack-server-seal") == b"s2"  # nothing of the first was passed on
 
 
 def test_a_client_that_goes_on_itself_is_sent_nothing_twice(harness: Harness) -> None:
     server = harness.serve(resuming(6, repeated=1))
-    answer = harness.ask(asking("resumable", lines=b"Last-Event-Id: 4\r\n"))
+    answer = harness.ask(client_request("resumable", lines=b"Last-Event-Id: 4\r\n"))
     assert server.header(b"last-event-id") == b"4"
     assert answer.body == events(5, 6)
 
@@ -182,7 +182,7 @@
 def test_a_cut_stream_that_may_not_be_resumed_is_broken_off_for_all_to_see(harness, end, partial) -> None:
     cut = stream_head() + chunks(1, 2) + (http.chunk(partial) if partial else b"")
     server, other = harness.serve(breaking_after(cut, end)), harness.serve(stream(1, 9))
-    answer = harness.ask(asking("stream"))
+    answer = harness.ask(client_request("stream"))
     assert not answer.complete
     assert answer.end == "reset"
     assert not answer.raw.endswith(http.LAST_CHUNK)
@@ -193,14 +193,14 @@
 
 def test_a_stream_without_a_further_server_is_broken_off_for_all_to_see(harness: Harness) -> None:
     harness.serve(breaking_after(stream_head() + chunks(1, 2)))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert (answer.complete, answer.end) == (False, "reset")
     assert not answer.raw.endswith(http.LAST_CHUNK)
 
 
 def test_a_stream_that_ends_inside_an_event_is_not_complete(harness: Harness) -> None:
     harness.serve(stream_head() + chunks(1, 2) + http.chunk(event(3)[:9]) + http.LAST_CHUNK)
-    answer = harness.ask(asking("stream"))
+    answer = harness.ask(client_request("stream"))
     assert (answer.complete, answer.end) == (False, "reset")
 
 
@@ -208,7 +208,7 @@
 def test_a_failure_after_the_cut_never_ends_the_stream_as_if_whole(harness: Harness, status: int) -> None:
     harness.serve(breaking_after(stream_head() + chunks(1, 2)))
     harness.serve(http.response(status, b"why"))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert (answer.complete, answer.end) == (False, "reset")
     assert b"why" not in answer.raw
 
@@ -217,17 +217,17 @@
     harness.serve(breaking_after(stream_head() + chunks(1, 2)))
     harness.serve(http.response(503, b"full", b"X-Iristrack-Not-Executed: 1\r\n"))
     third = harness.serve(resuming(4))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert (answer.body, third.header(b"last-event-id")) == (events(1, 4), b"2")
 
 
 def test_the_time_over_in_a_stream_breaks_it_off(harness: Harness) -> None:
-    def answer(conversation: Conversation) -> None:
-        conversation.send(stream_head() + chunks(1, 1))
-        conversation.wait_for_end()
+    def answer(exchange: ServerExchange) -> None:
+        exchange.send(stream_head() + chunks(1, 1))
+        exchange.wait_until_closed()
 
     server = harness.serve(answer)
-    request = asking("stream").replace(b"Time-Left-Ms: 9000", b"Time-Left-Ms: 250")
+    request = client_request("stream").replace(b"Time-Left-Ms: 9000", b"Time-Left-Ms: 250")
     answer = harness.ask(request)
     assert (answer.complete, answer.end) == (False, "reset")
     harness.turn_until(lambda: server.ended == 1)
@@ -235,14 +235,14 @@
 
 def test_an_empty_stream_is_whole(harness: Harness) -> None:
     harness.serve(stream_head() + http.LAST_CHUNK)
-    answer = harness.ask(asking("stream"))
+    answer = harness.ask(client_request("stream"))
     assert (answer.status, answer.body) == (200, b"")
 
 
 def test_a_change_of_weights_told_by_an_event_is_learned(harness: Harness) -> None:
     told = b"versions: 4\n" + event(2)
     harness.serve(stream_head() + chunks(1, 1) + http.chunk(told) + http.LAST_CHUNK)
-    answer = harness.ask(asking("stream", lines=b"X-Iristrack-Model: daka510000\r\n"))
+    answer = harness.ask(client_request("stream", lines=b"X-Iristrack-Model: daka510000\r\n"))
     assert answer.body == event(1) + told
     assert harness.known("i-0").revisions == {"daka510000": 4}
 
@@ -254,14 +254,14 @@
 def test_a_stream_with_long_event_ids_is_resumed_and_comes_once(harness: Harness, first: int) -> None:
     harness.serve(breaking_after(stream_head() + chunks(first, first + 2)))
     second = harness.serve(stream(first + 3, first + 5, b"s2"))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert answer.body == events(first, first + 5)
     assert second.header(b"last-event-id") == b"%d" % (first + 2)
 
 
 def test_a_client_that_goes_on_behind_a_long_event_id_is_heard(harness: Harness) -> None:
     server = harness.serve(stream(LONG_ID, LONG_ID + 3))
-    answer = harness.ask(asking("resumable", lines=b"Last-Event-Id: %d\r\n" % (LONG_ID + 1)))
+    answer = harness.ask(client_request("resumable", lines=b"Last-Event-Id: %d\r\n" % (LONG_ID + 1)))
     assert server.header(b"last-event-id") == b"%d" % (LONG_ID + 1)
     assert answer.body == events(LONG_ID + 2, LONG_ID + 3)
 
@@ -270,7 +270,7 @@
 def test_a_stream_is_not_begun_again_behind_a_piece_without_an_id(harness: Harness, piece: bytes) -> None:
     harness.serve(breaking_after(stream_head() + http.chunk(piece)))
     second = harness.serve(stream(1, 3, b"s2"))
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert not answer.complete
     assert piece in answer.raw
     assert second.requests == []
@@ -281,6 +281,6 @@
     failure = b"HTTP/1.1 500 Internal Server Error\r\nX-Iristrack-Server-Seal: s2\r\n"
     harness.serve(breaking_after(stream_head() + chunks(1, 2)))
     harness.serve(failure + b"Content-Length: %d\r\n\r\n" % length + b"x" * length)
-    answer = harness.ask(asking("resumable"))
+    answer = harness.ask(client_request("resumable"))
     assert not answer.complete
     assert answer.raw.count(b"HTTP/1.1") == 1
