--- a/iristrack/dataplane/__init__.py
+++ b/iristrack/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: clients' requests in, servers' answers out, by what the control plane hands on."""
+"""The data plane: routes client requests to model servers, by the configuration from the control plane."""
--- a/iristrack/dataplane/attempts.py
+++ b/iristrack/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one server: the connection, the answer's head and its read_body."""
+"""One attempt to have a request answered by one server: the connection, the response's head and its body."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
 CONNECT_TIMEOUT_NS = 400 * NS_PER_MS
-TCP_USER_TIMEOUT_MS = 700  # unacknowledged bytes for so long end a connection to a server
-TCP_KEEPALIVE_S = 1  # and silence of its machine is noticed by probes
+TCP_USER_TIMEOUT_MS = 700  # a connection with bytes unacknowledged for this long is closed
+TCP_KEEPALIVE_S = 1  # idle time before a probe, and between probes, that detect a dead machine
 TCP_KEEPALIVE_PROBE_COUNT = 2
 ATTEMPT_ID_HEADER = b"x-iristrack-attempt-id"
 NOT_EXECUTED_HEADER = b"x-iristrack-not-executed"
@@ -28,7 +28,7 @@
 
 
 class AttemptFailed(Exception):
-    """An attempt without a whole answer; `may_have_run` tells whether the server may have run it."""
+    """An attempt without a complete response; `may_have_run`: whether the server may have executed the request."""
 
     def __init__(self, reason: str, may_have_run: bool) -> None:
         """`reason` is for the log."""
@@ -37,32 +37,32 @@
 
 
 class NotBegunInTime(AttemptFailed):
-    """The server has not begun the request, and its weights count no longer: the request was taken back."""
+    """The server had not begun the request when its weights expired: the request was cancelled."""
 
     def __init__(self) -> None:
-        """The server may have begun it in this moment."""
-        super().__init__("not begun before its weights ceased to count", may_have_run=True)
+        """`may_have_run` is set: the server may begin the request just as it is cancelled."""
+        super().__init__("not begun before the server's weights expired", may_have_run=True)
 
 
 class SendForbidden(Exception):
-    """The right to send the request has ended before it was sent."""
+    """The permission to send the request ended before it was sent."""
 
 
 class DeadlinePassed(Exception):
-    """The time for the request is over while the server was working."""
+    """The request's deadline passed while the server was working on it."""
 
 
 class ResponseClass(Enum):
-    """What an answer's head says."""
+    """What a response's head says about the execution of the request."""
 
     SUCCESS = "success"
-    NOT_EXECUTED = "not_executed"  # turned away: it has not run, and never will
-    FAILURE = "failure"  # it may_have_run, and this is the answer
-    UNKNOWN = "unknown"  # a status that promises what the server did not say: it may have run
+    NOT_EXECUTED = "not_executed"  # rejected: the request has not run and will not run
+    FAILURE = "failure"  # the request ran, and this error is its response
+    UNKNOWN = "unknown"  # the header that would confirm the status is missing: the request may have run
 
 
 def classify_response(head: http.Head) -> ResponseClass:
-    """Judge an answer by its head alone."""
+    """Classify a response by its head alone."""
     if NOT_EXECUTED_HEADER in head.fields or head.status == 421:
         return ResponseClass.NOT_EXECUTED
     if 200 <= head.status < 300:
@@ -73,7 +73,7 @@
 
 
 class Attempt:
-    """One attempt. Its methods are called in order: `send`, `read_head`, `read_body`, and `close` at any end."""
+    """One attempt. Call `send`, `read_head` and `read_body` in this order, and always `close` at the end."""
 
     def __init__(
         self, scheduler: Scheduler, links: Links, server: Server, client: ClientConnection, deadline: int
@@ -84,26 +84,25 @@
         self.server = server
         self.client = client
         self.deadline = deadline
-        self.written = False  # may the server have the request?
+        self.written = False  # the server may have received the request
         self.sent_at = 0  # ns, when it was written
         self.head: http.Head | None = None
-        self.begin_by: Callable[[int], int] = lambda now: (
-            deadline
-        )  # ns; asked again when that moment has come
+        # Returns the time (ns) by which the server has to begin; called again at that time, as it may have moved.
+        self.begin_by: Callable[[int], int] = lambda now: deadline
         self._link: Link | None = None
-        self._bodiless_message: http.Message | None = None  # an answer without a body
+        self._bodiless_message: http.Message | None = None  # a message that was complete with its head
 
     def send(self, request: bytes, may_send: Callable[[], bool]) -> None:
         """Open or reuse a connection and write the request; raises `AttemptFailed`.
 
-        `may_send` is asked last, as the wait for a connection takes time; raises `SendForbidden` where it says no.
+        `may_send` is called last, since the wait for a connection takes time; raises `SendForbidden` if it is false.
         """
         try:
             link = self.links.take(self.server.instance_id, min(self.deadline, clock() + CONNECT_TIMEOUT_NS))
         except OSError as error:
             raise AttemptFailed(f"connect: {error}", may_have_run=False) from None
         if link is None:
-            raise AttemptFailed("no connection can be had", may_have_run=False)
+            raise AttemptFailed("no connection available", may_have_run=False)
         self._link = link
         if not may_send():
             raise SendForbidden
@@ -115,9 +114,9 @@
             raise AttemptFailed(f"write: {error}", may_have_run=True) from None
 
     def read_head(self, attempt_id: bytes) -> http.Head:
-        """The head of this attempt's answer; answers of earlier requests that come late are dropped.
+        """Return the head of this attempt's response; late responses to earlier requests are dropped.
 
-        One that names no request is this attempt's only where the connection has carried no other.
+        A response without an attempt id is accepted only on a connection that has carried no other request.
         """
         reader = self._link.reader
         while True:
@@ -126,26 +125,26 @@
             if head is None:
                 continue
             if head.status == 101:
-                raise AttemptFailed("another protocol", may_have_run=True)
+                raise AttemptFailed("the server switches protocols", may_have_run=True)
             response_id = head.fields.get(ATTEMPT_ID_HEADER)
             if response_id is None and self._is_reused:
                 raise AttemptFailed(
-                    "an answer without an id, which may be an earlier request's", may_have_run=True
+                    "a response without an attempt id on a reused connection", may_have_run=True
                 )
             if response_id is None or response_id == attempt_id:
                 self.head = head
                 self._bodiless_message = message
                 return head
             if message is None:
-                self._drop_answer()
+                self._discard_response()
 
     @property
     def _is_reused(self) -> bool:
-        """Has the connection carried an earlier request, and rested since?"""
+        """Whether the connection has carried an earlier request and has been idle since."""
         return self._link.idle_since != 0
 
     def read_body(self) -> Iterator[bytes]:
-        """The answer's body as it comes, without its framing; ends only with the whole body."""
+        """Yield the response's body as it arrives, without its framing; ends only when the body is complete."""
         if self._bodiless_message is not None:
             yield self._bodiless_message.body
             return
@@ -160,7 +159,7 @@
             self._receive()
 
     def finish(self) -> None:
-        """The answer is whole: the connection may be used again, unless the server says otherwise."""
+        """Return the connection for reuse after a complete response, or close it if the server asks for that."""
         link = self._link
         self._link = None
         if link is None:
@@ -171,12 +170,12 @@
             self.links.close(link)
 
     def close(self) -> None:
-        """End the connection, wherever the attempt stands."""
+        """Close the connection, in whatever state the attempt is."""
         if self._link is not None:
             self.links.close(self._link)
             self._link = None
 
-    def _drop_answer(self) -> None:
+    def _discard_response(self) -> None:
         reader = self._link.reader
         reader.take()
         while not reader.done:
@@ -198,7 +197,7 @@
                 return reader.feed(data)
             message = reader.end()
             if message is None and not reader.done:
-                raise AttemptFailed("closed before the answer's end", may_have_run=True)
+                raise AttemptFailed("closed before the end of the response", may_have_run=True)
             return message
         except TimeoutError:
             raise DeadlinePassed from None
@@ -206,7 +205,7 @@
             raise AttemptFailed(f"read: {error}", may_have_run=True) from None
 
     def _recv(self, link: Link) -> bytes:
-        """Wait for the next bytes, also where some are there already: other tasks and the deadline have their turn."""
+        """Wait for the next bytes, even if some are ready, so that other tasks run and the deadline is checked."""
         while True:
             if self.client.disconnected:
                 raise ClientDisconnected
@@ -216,13 +215,13 @@
                 return link.sock.recv(RECEIVE)
 
     def _wait_readable(self, link: Link) -> object:
-        """Wait for the answer; raises `TimeoutError` at the deadline, `NotBegunInTime` where its head is overdue."""
+        """Wait for bytes; raises `TimeoutError` at the deadline, `NotBegunInTime` where the head is overdue."""
         if self.head is not None:
             return self.scheduler.wait(link.fd, READ, self.deadline)
-        # Sent is not begun: a request that waits at a slow server would begin on weights that count no longer.
-        until = min(self.deadline, self.begin_by(clock()))
+        # A sent request may be queued at a slow server and would then begin on expired weights.
+        wait_deadline = min(self.deadline, self.begin_by(clock()))
         try:
-            return self.scheduler.wait(link.fd, READ, until)
+            return self.scheduler.wait(link.fd, READ, wait_deadline)
         except TimeoutError:
             now = clock()
             if now >= self.deadline:
@@ -244,7 +243,7 @@
 
 
 def connect_to_server(scheduler: Scheduler, address: Address, deadline: int) -> socket.socket:
-    """A new connection to a server, which ends where its machine falls silent; raises `OSError`."""
+    """Connect to a server, with probes that detect a dead machine; raises `OSError`."""
     sock = connect(scheduler, address, deadline)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -255,6 +254,6 @@
 
 
 def _keep_alive_ns(head: http.Head) -> int | None:
-    """How long the server keeps the connection idle, where it says so."""
-    found = _KEEP_ALIVE_TIMEOUT.search(head.fields.get(b"keep-alive", b""))
-    return int(found[1]) * NS_PER_S if found else None
+    """Return how long the server keeps an idle connection open; None if it does not say."""
+    match = _KEEP_ALIVE_TIMEOUT.search(head.fields.get(b"keep-alive", b""))
+    return int(match[1]) * NS_PER_S if match else None
--- a/iristrack/dataplane/client_response.py
+++ b/iristrack/dataplane/client_response.py
@@ -1,31 +1,29 @@
-"""The answer to one client's request: its framing, and how it ends."""
+"""The response to one client request: its framing, and how it ends."""
 
 from __future__ import annotations
 
 from iristrack.dataplane.clients import ClientConnection
 from iristrack.http1 import messages as http
 
-HTTP_1_0_MINOR_VERSION = (
-    0  # the minor version of HTTP/1 whose clients know no chunks: the connection's end is the body's
-)
+HTTP_1_0_MINOR_VERSION = 0  # HTTP/1.0 has no chunked encoding: the connection's close ends the body
 
 
 class ClientResponse:
-    """Written whole, or begun, continued in pieces and ended; an answer that breaks off never looks complete."""
+    """A response that is sent at once, or begun, written in pieces and ended. An aborted one never looks complete."""
 
     def __init__(self, client: ClientConnection, keep: bool, version: int) -> None:
-        """`keep`: does the connection go on after the answer? `version` is the minor one of the client's HTTP/1."""
+        """`keep`: whether the connection is kept after the response; `version`: the client's HTTP/1 minor version."""
         self.client = client
         self.chunked = version > HTTP_1_0_MINOR_VERSION
         self.keep = keep and self.chunked
         self.begun = False
 
     def send(self, status: int, body: bytes, lines: bytes) -> None:
-        """Answer at once."""
+        """Send a complete response."""
         self.client.write(http.response(status, body, lines, close=not self.keep))
 
     def begin(self, head: http.Head) -> None:
-        """Pass on a server's head; the body follows in pieces."""
+        """Forward a server's head; the body follows in pieces."""
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
         closing = b"" if self.keep else b"Connection: close\r\n"
         reason = http.REASONS.get(head.status, b"OK")
@@ -36,15 +34,15 @@
         self.begun = True
 
     def write(self, data: bytes) -> None:
-        """Pass on a part of the body."""
+        """Forward a piece of the body."""
         if data:
             self.client.write(http.chunk(data) if self.chunked else data)
 
     def end(self) -> None:
-        """The body is complete."""
+        """End a complete body."""
         if self.chunked:
             self.client.write(http.LAST_CHUNK)
 
     def abort(self) -> None:
-        """Reset the connection, so that nobody takes what was passed on for the whole."""
+        """Reset the connection, so that the client sees that the response is incomplete."""
         self.client.reset_on_close = True
--- a/iristrack/dataplane/clients.py
+++ b/iristrack/dataplane/clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: whole requests in, answers out, and one way to end a connection."""
+"""Client connections: reading complete requests, writing responses, and closing."""
 
 from __future__ import annotations
 
@@ -23,55 +23,55 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
 LISTEN_BACKLOG = 1024
-MAX_ACCEPTS_PER_TURN = 64  # connections taken in one turn
+MAX_ACCEPTS_PER_TURN = 64  # bounds one turn of the event loop
 RECEIVE_BYTES = 64 * 1024
-WRITE_STALL_TIMEOUT_NS = 4 * NS_PER_S  # a client that takes nothing for so long is given up
-LINGERING_CLOSE_NS = 100 * NS_PER_MS  # a client has so long to end a connection that was shut here
-BODY_READ_TIMEOUT_NS = 3 * NS_PER_S  # a body may pause for so long
+WRITE_STALL_TIMEOUT_NS = 4 * NS_PER_S  # a client that accepts no bytes for this long is dropped
+LINGERING_CLOSE_NS = 100 * NS_PER_MS  # how long a client has to close after this side shut down sending
+BODY_READ_TIMEOUT_NS = 3 * NS_PER_S  # the longest pause between two pieces of a body
 ACCEPT_RETRY_NS = 50 * NS_PER_MS
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class ClientDisconnected(Exception):
-    """The client has closed its connection, or takes nothing any more."""
+    """The client has closed its connection, or accepts no more bytes."""
 
 
 class ClientConnection:
-    """One client's connection, served by one task."""
+    """One client connection, served by one task."""
 
     def __init__(self, listener: ClientListener, sock: socket.socket) -> None:
-        """`sock` is non-blocking and was just accepted."""
+        """`sock` is a newly accepted non-blocking socket."""
         self.listener = listener
         self.scheduler = listener.scheduler
         self.sock = sock
         self.fd = sock.fileno()
         self.reader = http.Reader(limit=listener.max_body_bytes, whole=listener.max_body_bytes)
-        self.disconnected = False  # has the client gone?
-        self.reset_on_close = False  # must the client see that its answer broke off?
+        self.disconnected = False  # the client has gone
+        self.reset_on_close = False  # the close must show the client that its response is incomplete
         self.task: Task | None = None
         self._watching = False
 
-    # ---- while an answer is awaited
+    # ---- while waiting for a server
 
     def watch(self) -> None:
-        """Notice from now on when the client leaves, and wake the connection's task then."""
+        """Start to watch for the client's disconnect, which wakes the connection's task."""
         if not self._watching and not self.disconnected:
             self._watching = True
-            self.scheduler.watch(self.fd, self._readable)
+            self.scheduler.watch(self.fd, self._on_readable)
 
     def unwatch(self) -> None:
-        """Stop noticing; to be done before the connection is read or waited on."""
+        """Stop watching; call this before the connection is read or waited on."""
         if self._watching:
             self._watching = False
             self.scheduler.unwatch(self.fd)
 
-    def _readable(self, hung_up: bool = False) -> None:
+    def _on_readable(self, hung_up: bool = False) -> None:
         self.unwatch()
         try:
             if not hung_up and self.sock.recv(1, socket.MSG_PEEK):
-                # An early next request stays in the kernel until this one is answered; only the end is of interest.
+                # A pipelined request stays in the kernel buffer; from here on only a hang-up is watched for.
                 self._watching = True
-                self.scheduler.watch(self.fd, lambda: self._readable(hung_up=True), HANG_UP)
+                self.scheduler.watch(self.fd, lambda: self._on_readable(hung_up=True), HANG_UP)
                 return
         except BlockingIOError:
             self.watch()
@@ -83,7 +83,7 @@
             self.task.wake()
 
     def write(self, data: bytes) -> None:
-        """Write it all; raises `ClientDisconnected` where the client takes nothing any more."""
+        """Write all of `data`; raises `ClientDisconnected` if the client accepts no more bytes."""
         if self.disconnected:
             raise ClientDisconnected
         try:
@@ -100,7 +100,7 @@
             self.watch()
 
     def feed(self, data: bytes) -> http.Message | None:
-        """Feed bytes to the reader, answering `Expect: 100-continue`."""
+        """Feed bytes to the reader, and respond to `Expect: 100-continue`."""
         message = self.reader.feed(data)
         head = self.reader.head
         if (
@@ -117,15 +117,16 @@
 
 
 class ClientListener:
-    """Accepts clients and has `exchange` answer each request; it returns whether the connection goes on.
+    """Accept clients and have `exchange` respond to each request; it returns whether the connection is kept.
 
-    Bounds: `most` connections; a request's head within `header_ns` of its first byte; `idle_ns` between requests.
+    Limits: `max_connections`; `header_timeout_ns` from a request's first byte to the end of its head;
+    `idle_timeout_ns` between requests.
     """
 
     def __init__(
         self, scheduler: Scheduler, address: tuple[str, int], exchange: ExchangeHandler, max_connections: int
     ) -> None:
-        """Raises `OSError` where the address cannot be had."""
+        """Raises `OSError` if the address cannot be bound."""
         self.scheduler = scheduler
         self.exchange = exchange
         self.max_connections = max_connections
@@ -134,14 +135,14 @@
         self.header_timeout_ns = 3 * NS_PER_S
         self.idle_timeout_ns = 15 * NS_PER_S
         self.connections: set[ClientConnection] = set()
-        self.closing = False  # connections end with the answer under way
+        self.closing = False  # connections close after the response in progress
         self.on_empty: Callable[[], None] | None = None
         self._listener: socket.socket | None = listening(address, LISTEN_BACKLOG)
         self._accepting = False
         self._resume()
 
     def stop_accepting(self) -> None:
-        """Take what the kernel has accepted already, then no more."""
+        """Take the connections that the kernel has accepted already, then close the listening socket."""
         if self._listener is not None:
             if self._accepting:
                 self._accept()
@@ -150,7 +151,7 @@
             self._listener = None
 
     def close_idle(self) -> None:
-        """Have connections end: the idle ones now, the others with their answer."""
+        """Close the idle connections now, and the others after their response."""
         self.closing = True
         for client in list(self.connections):
             if client.reader.empty and client.task is not None and not client._watching:
@@ -179,7 +180,7 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError:
-                # No descriptor is left: an accept that fails at once would spin the loop.
+                # Out of file descriptors: retrying at once would spin the loop.
                 self._pause()
                 self.scheduler.call_at(clock() + ACCEPT_RETRY_NS, self._resume)
                 return
@@ -207,7 +208,7 @@
                 self.on_empty()
 
     def _serve_requests(self, client: ClientConnection) -> None:
-        """Answer request after request until the connection is to end."""
+        """Serve one request after another until the connection is to be closed."""
         try:
             while True:
                 message = self._read_request(client)
@@ -224,17 +225,17 @@
             client.write(http.response(error.status, str(error).encode() + b"\n", b"", close=True))
 
     def _read_request(self, client: ClientConnection) -> http.Message | None:
-        """The next request; None where the connection is over."""
+        """Read the next request; return None if the connection has ended."""
         reader = client.reader
         if reader.head is None:
             reader.bound(self.max_body_bytes, self.max_head_bytes)
         message = None if reader.empty else client.feed(b"")
-        began = None if reader.empty else clock()
-        idle_until = clock() + self.idle_timeout_ns
+        started_at = None if reader.empty else clock()
+        idle_deadline = clock() + self.idle_timeout_ns
         while message is None:
             if self.closing and reader.empty:
                 return None
-            deadline = idle_until if began is None else began + self.header_timeout_ns
+            deadline = idle_deadline if started_at is None else started_at + self.header_timeout_ns
             if reader.head is not None:
                 deadline = clock() + BODY_READ_TIMEOUT_NS
             try:
@@ -250,16 +251,19 @@
             if not data:
                 client.disconnected = True
                 return None
-            if began is None:
-                began = clock()
+            if started_at is None:
+                started_at = clock()
                 reader.bound(
                     self.max_body_bytes, self.max_head_bytes
-                )  # a configuration may have come meanwhile
+                )  # the limits may have changed while the connection was idle
             message = client.feed(data)
         return message
 
     def _close_gracefully(self, client: ClientConnection) -> None:
-        """Shut the sending side, read and drop to the end or a bound, close: a close over unread bytes would reset."""
+        """Shut down sending, then discard input until the client closes or the time is up.
+
+        A close with unread bytes in the buffer would reset the connection, and the client could lose the response.
+        """
         if client.disconnected or client.reset_on_close:
             return
         client.sock.shutdown(socket.SHUT_WR)
--- a/iristrack/dataplane/control_link.py
+++ b/iristrack/dataplane/control_link.py
@@ -1,8 +1,8 @@
-"""The data plane's side of updates: subscribed to every core member, the newest value of each topic counts.
+"""The sidecar's connections to the core, over which it receives updates of topics and sends reports.
 
-The hub pushes changes. The other members announce them, and what the hub does not push in time is asked for at one of
-these (`relay/catch_up.py`): a change is in force here soon after any member that this sidecar reaches has learned of
-it, whatever the hub does.
+The sidecar subscribes to every core member and applies the newest value of each topic. The hub pushes changes. The
+other members announce theirs in heartbeats, and what the hub does not push in time is requested from one of them
+(`relay/catch_up.py`). A change thus takes effect here soon after any reachable member has it, even if the hub fails.
 """
 
 from __future__ import annotations
@@ -45,20 +45,18 @@
 from iristrack.wire.values import decode_value
 
 NS_PER_MS = 1_000_000
-SIDECARS_PER_HEARTBEAT_STEP = 24  # so many more sidecars add the first interval once more
-MAX_HEARTBEAT_INTERVAL_NS = 1000 * NS_PER_MS  # a change that the hub did not push is heard of within it
-SEND_AGES_NS = (
-    2 * MAX_HEARTBEAT_INTERVAL_NS
-)  # so long heartbeats bear the ages of named weights, once a member lacks them
-LEASE_CHECK_INTERVAL_NS = 100 * NS_PER_MS  # how often it is looked whether the lease of keys is to be renewed
-EVIDENCE_INTERVAL_NS = 250 * NS_PER_MS  # between two reports of how requests under roll-outs end
-BUSY_TIMEOUT_NS = (
-    3000 * NS_PER_MS
-)  # a server that takes new weights is left alone for so long unless decoded otherwise
+SIDECARS_PER_HEARTBEAT_STEP = 24  # each such number of sidecars lengthens the interval by HEARTBEAT_NS
+MAX_HEARTBEAT_INTERVAL_NS = 1000 * NS_PER_MS  # bounds how late an update that the hub did not push is noticed
+# How long heartbeats carry the ages of named weights after a member was found to lack them.
+SEND_AGES_NS = 2 * MAX_HEARTBEAT_INTERVAL_NS
+LEASE_CHECK_INTERVAL_NS = 100 * NS_PER_MS  # between two checks whether the key lease is due for renewal
+EVIDENCE_INTERVAL_NS = 250 * NS_PER_MS  # between two reports of the outcomes of requests under rollouts
+# How long a server that loads new weights gets no requests, unless the core reports that it is done.
+BUSY_TIMEOUT_NS = 3000 * NS_PER_MS
 
 
 class ControlLink:
-    """Connections to the core, and what their updates change here."""
+    """Keep connections to the core members and apply their updates to the data plane's state."""
 
     def __init__(
         self,
@@ -67,7 +65,7 @@
         log,
         open_connection: OpenConnection | None = None,
     ) -> None:
-        """Dials the seeds at once; `open_one` opens connections, over TCP where it is None."""
+        """Start to dial the seeds; `open_connection` opens connections, over TCP if it is None."""
         self.plane = plane
         self.log = log
         self.topics = TopicTable()
@@ -81,11 +79,12 @@
         self.on_configuration: Callable[[], None] = lambda: None
         self.load_reporter = LoadReporter(plane, self)
         self._sequence = -1  # of the configuration in force
-        self._busy: set[str] = set()
-        self._logged_rollouts: dict[str, tuple[str, int]] = {}  # phase and share, for the log
+        self._busy_instances: set[str] = set()
+        # By service: the phase and share that were logged last.
+        self._logged_rollouts: dict[str, tuple[str, int]] = {}
         self._evidence_timer: Timer | None = None
         self._evidence_number = 0
-        self._evidence_reported = 0  # answers that were counted when evidence was decoded last
+        self._evidence_reported = 0  # count of responses at the time of the last report
         self._handlers: dict[str, Callable[[bytes], None]] = {
             topics.CONFIGURATION: self._on_configuration,
             topics.VERSIONS: self._on_versions,
@@ -107,21 +106,21 @@
         plane.scheduler.call_at(plane.scheduler.now() + LEASE_CHECK_INTERVAL_NS, self._check_key_lease)
 
     def dial_members(self) -> None:
-        """Dial the members that are known, and the seeds of the settings."""
+        """Dial the known core members and the seeds from the settings."""
         settings = self.plane.settings
         self.plane.key_lease.set_duration(settings.rule_bounds.key_lease_ms)
         seeds = {f"{seed.host}:{settings.port_range.first}" for seed in settings.seed_nodes}
         self.dialers.follow(seeds | set(self._members()))
 
     def _members(self) -> tuple[str, ...]:
-        """The inner addresses of the newest known member set; empty while none is known."""
+        """Return the internal addresses of the newest known member set; empty while none is known."""
         update = self.topics.get(topics.MEMBERS)
         decoded = decode_value(update.value, MembersValue) if update is not None else None
         return () if decoded is None else decoded.members
 
     @property
     def configuration_confirmed(self) -> bool:
-        """Is no configuration newer than the one in force, as a majority of the core has decoded?"""
+        """Whether a majority of the core has confirmed that no configuration is newer than the active one."""
         update = self.topics.get(topics.CONFIGURATION)
         members = self._members() or tuple(self.dialers.dialers)
         return update is not None and self.core_view.is_confirmed(update.sequence, members)
@@ -140,7 +139,11 @@
         return Heartbeat(node, self.process, self.heartbeat_count, self.topics.versions(), named=ages)
 
     def _heartbeat_interval(self, connection: PeerConnection) -> int:
-        """The hub is asked often; the others, which only show what was missed, more rarely in a large fleet."""
+        """Return the heartbeat interval of a connection.
+
+        The hub gets heartbeats often. The other members, whose heartbeats only reveal missed updates, get them less
+        often in a large fleet.
+        """
         if connection is self._hub:
             return HEARTBEAT_NS
         return min(
@@ -149,19 +152,19 @@
         )
 
     def _subscribe(self, connection: PeerConnection) -> None:
-        """Have the hub push what is missed and what changes; the others announce it, and send what is asked for."""
+        """Subscribe: the hub pushes missing values and changes, the others announce and send them on request."""
         push = connection is self.core_view.choose_hub()
         connection.send(Subscribe(self.topics.versions(), push, catch_up=push))
 
     def _choose_hub(self) -> None:
         hub = self.core_view.choose_hub()
         if hub is not self._hub:
-            before, self._hub = self._hub, hub
-            for connection in (before, hub):
+            previous, self._hub = self._hub, hub
+            for connection in (previous, hub):
                 if connection is not None and not connection.closed:
                     self._subscribe(connection)
-            if before is not None and not before.closed:
-                before.send(KeptSubscribe(own_only=False, ends=True))
+            if previous is not None and not previous.closed:
+                previous.send(KeptSubscribe(own_only=False, ends=True))
             if hub is not None:
                 hub.send(KeptSubscribe(own_only=False))
                 self._request_key_lease()
@@ -190,7 +193,7 @@
             self._choose_hub()
 
     def _on_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
-        """A member tells how new its topics are: what the hub does not push in time is asked for."""
+        """Compare a member's topic versions with those here; values that the hub does not push are requested."""
         self.core_view.update_member(connection, message)
         if message.in_quorum and self._has_rollouts_of(message):
             self.plane.rollouts.renew_lease(self.plane.scheduler.now())
@@ -204,13 +207,13 @@
             self._set_request_timer()
 
     def _request_missing(self) -> None:
-        """Ask the members whose turn it is for what is missing here."""
+        """Request missing values from the members that are due for it."""
         self._request_timer = None
         known = self.topics.versions()
         for connection in self.catch_up.take_due(known, self.plane.scheduler.now()):
             if connection.closed:
                 self.catch_up.source_lost(connection)
-            elif connection is not self._hub:  # the hub sends what it has by itself
+            elif connection is not self._hub:  # the hub pushes without a request
                 connection.send(Subscribe(known, push=False))
         self._set_request_timer()
 
@@ -220,7 +223,7 @@
             self._request_timer = self.plane.scheduler.call_at(due, self._request_missing)
 
     def hub(self) -> PeerConnection | None:
-        """The core member that pushes changes here and sums loads, None while there is none."""
+        """Return the core member that pushes changes and sums loads; None while there is none."""
         return self.core_view.choose_hub()
 
     def _on_configuration(self, value: bytes) -> None:
@@ -230,7 +233,11 @@
         self._activate(ActiveConfiguration(parse_configuration(decoded.body)), decoded.sequence)
 
     def _on_amendment(self, message: ConfigurationAmendment) -> None:
-        """Amend the configuration in force; where it is not the one before, the whole comes from another member."""
+        """Apply an amendment to the active configuration.
+
+        If the active configuration is not the amendment's predecessor, the amendment is ignored and the complete
+        configuration comes from another member.
+        """
         if self.plane.active is None or message.sequence != self._sequence + 1:
             return
         active = self.plane.active.amended(parse_amendment(message.body))
@@ -244,7 +251,7 @@
         self.on_configuration()
         self.log.info("configuration in force", revision=active.configuration.revision, sequence=sequence)
 
-    # ---- the lease under which keys are honoured
+    # ---- the key lease, under which API keys are accepted
 
     def _check_key_lease(self) -> None:
         now = self.plane.scheduler.now()
@@ -253,18 +260,20 @@
         self.plane.scheduler.call_at(now + LEASE_CHECK_INTERVAL_NS, self._check_key_lease)
 
     def _request_key_lease(self) -> None:
-        """Ask the hub, and where it has not answered the last time, every member."""
+        """Request the key lease from the hub, or from every member if a request is still unanswered."""
         lease = self.plane.key_lease
         if not lease.needed:
             return
         hub = self.core_view.choose_hub()
-        asked = [hub] if hub is not None and not lease.has_pending_request else list(self.core_view.members)
+        recipients = (
+            [hub] if hub is not None and not lease.has_pending_request else list(self.core_view.members)
+        )
         request = KeyLeaseRequest(lease.record_request(self.plane.scheduler.now()))
-        for connection in asked:
+        for connection in recipients:
             if not connection.closed:
                 connection.send(request)
 
-    # ---- roll-outs
+    # ---- rollouts
 
     def _on_rollouts(self, value: bytes) -> None:
         decoded = decode_value(value, RolloutsValue)
@@ -284,13 +293,13 @@
         self._schedule_evidence()
 
     def _has_rollouts_of(self, message: Heartbeat) -> bool:
-        """Does the sender know no newer states of the roll-outs than are followed here?"""
+        """Return whether the sender knows no newer rollout state than this process."""
         known = self.topics.get(topics.ROLLOUTS)
         sequence = -1 if known is None else known.sequence
         return all(v.sequence <= sequence for v in message.known if v.topic == topics.ROLLOUTS)
 
     def _schedule_evidence(self) -> None:
-        """Tell every core member how requests under roll-outs have ended, a few times a second while any runs."""
+        """Schedule the next report of request outcomes to all core members while a rollout is running."""
         rollouts = self.plane.rollouts
         if not rollouts.running:
             return
@@ -322,21 +331,21 @@
                 self.log.info("weights named", model=version.model, revision=version.revision)
 
     def _on_named_ages(self, ages: tuple[NamedAge, ...]) -> None:
-        """Count from the naming, which a process that was away or began anew heard of late."""
+        """Learn how long ago revisions were named, which a process that was disconnected or restarted heard late."""
         now = self.plane.scheduler.now()
         models = {age.model for age in ages}
-        before = {model: self.plane.required_revision(model, now) for model in models}
+        required_before = {model: self.plane.required_revision(model, now) for model in models}
         self.plane.named_weights.learn_ages(ages, now)
         for model in sorted(models):
             required = self.plane.required_revision(model, now)
-            if required > before[model]:
+            if required > required_before[model]:
                 self.log.info("weights required", model=model, revision=required)
 
     def _check_sender_ages(self, message: Heartbeat) -> None:
-        """Tell with the next heartbeats how long ago weights were named, where a core member has forgotten it.
+        """Send the ages of named weights with the next heartbeats if a core member lacks them.
 
-        All of the core may have begun anew. The ages go with heartbeats that are sent anyway: an answer of its own to
-        each heartbeat would be answered in turn, and so on, with a member that never learns.
+        All core members may have restarted. The ages go with heartbeats that are due anyway: a separate reply to each
+        heartbeat would be replied to in turn, without end, by a member that never learns the ages.
         """
         now = self.plane.scheduler.now()
         if self.plane.named_weights.knows_earlier(message.named, now):
@@ -351,7 +360,7 @@
         self.dial_members()
 
     def _on_busy_servers(self, value: bytes) -> None:
-        """Leave servers alone that take new weights; those that were named before are back."""
+        """Mark the servers that load new weights as busy, and those reported before as available again."""
         decoded = decode_value(value, BusyServers)
         if decoded is None:
             return
@@ -360,11 +369,11 @@
             if server is not None:
                 server.record_revision(taken.model, taken.revision)
         now = self.plane.scheduler.now()
-        busy = set(decoded.instances)
-        for instance in busy | self._busy:
+        busy_instances = set(decoded.instances)
+        for instance in busy_instances | self._busy_instances:
             server = self.plane.servers.servers.get(instance)
             if server is not None:
-                server.mark_busy(instance in busy, now + BUSY_TIMEOUT_NS)
-        self._busy = busy
+                server.mark_busy(instance in busy_instances, now + BUSY_TIMEOUT_NS)
+        self._busy_instances = busy_instances
         for server in self.plane.servers.servers.values():
             server.preparing = server.instance_id in decoded.preparing
--- a/iristrack/dataplane/discovery.py
+++ b/iristrack/dataplane/discovery.py
@@ -1,4 +1,4 @@
-"""Following the platform's list of servers."""
+"""Following the platform's server list."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
 POLL_INTERVAL_NS = NS_PER_S
-CORE_SILENCE_NS = 4 * NS_PER_S  # the core tells the list again every two seconds
+CORE_SILENCE_NS = 4 * NS_PER_S  # the core sends the list every two seconds
 FETCH_TIMEOUT_NS = 800 * NS_PER_MS
 FORGET_LINKS_AFTER_NS = 5 * NS_PER_S
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """`ip:port` as a pair; raises `ValueError`."""
+    """Split `ip:port` into a pair; raises `ValueError`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def apply_server_list(plane: PlaneState, entries: list[ListedServer]) -> None:
-    """Follow a whole list: the table of servers, and the connections to them."""
+    """Apply a complete list to the server table and to the connections."""
     for server in plane.servers.apply_server_list(entries):
         plane.index.forget(server.address)
         plane.pending_prefills.forget(server.address)
@@ -46,10 +46,10 @@
 
 
 class ServerListFollower:
-    """Takes the list that the core hands on, and asks the platform itself while the core says nothing."""
+    """Apply the list that the core sends, and poll the platform directly while the core is silent."""
 
     def __init__(self, plane: PlaneState) -> None:
-        """Starts with the first turn of the loop."""
+        """Start to poll, if the settings name the platform's API."""
         self.plane = plane
         self._last_core_list_at = clock()
         provider = plane.settings.provider_api
@@ -58,7 +58,7 @@
             plane.scheduler.spawn("list poller", self._poll)
 
     def on_update(self, value: bytes) -> None:
-        """The core handed a list on."""
+        """Apply a list that the core sent."""
         decoded = decode_value(value, ServersValue)
         if decoded is not None:
             self._last_core_list_at = clock()
@@ -69,6 +69,6 @@
             self.plane.scheduler.sleep(POLL_INTERVAL_NS)
             if clock() - self._last_core_list_at < CORE_SILENCE_NS:
                 continue
-            with suppress(ListUnavailable, ValueError):  # the last list stands; the next call is soon
+            with suppress(ListUnavailable, ValueError):  # keep the last list until the next poll
                 apply_server_list(self.plane, fetch_list(self.caller, clock() + FETCH_TIMEOUT_NS))
                 self.plane.startup_gate.open_if_ready()
--- a/iristrack/dataplane/events.py
+++ b/iristrack/dataplane/events.py
@@ -1,52 +1,52 @@
-"""Cutting a server's event stream into whole events, and reading their ids. Pure functions of bytes."""
+"""Splitting a server's event stream into complete events, and reading their ids. No I/O."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-MAX_EVENT_BYTES = 1 << 20  # bytes of one event
-MAX_TERMINATOR_BYTES = 4  # bytes that end an event
+MAX_EVENT_BYTES = 1 << 20
+MAX_TERMINATOR_BYTES = 4  # of the longest event terminator, CRLF CRLF
 _TERMINATOR = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-MAX_ID_DIGITS = 1000  # of an event's id; Python reads numbers of up to 4,300
+MAX_ID_DIGITS = 1000  # of an event id; Python parses integers of up to 4,300 digits
 _ID = re.compile(rb"(?:^|[\r\n])id:[ ]?([0-9]{1,%d})(?=[\r\n]|$)" % MAX_ID_DIGITS)
 _DATA = re.compile(rb"(?:^|[\r\n])data(?=[:\r\n]|$)")
 _REVISION = re.compile(rb"(?:^|[\r\n])versions:[ ]?([0-9]{1,18})(?=[\r\n]|$)")
 
 
 class EventTooLarge(ValueError):
-    """An event over `MOST_EVENT`."""
+    """An event is larger than `MAX_EVENT_BYTES`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event as it came; `id` is None where it has none."""
+    """One complete event, unchanged; `id` is None if it has none."""
 
     data: bytes
     id: int | None
-    revision: int | None  # of the model's weights, where the event tells of a change
+    revision: int | None  # of the model's weights, if the event announces a change
 
     @property
     def is_data_without_id(self) -> bool:
-        """Does it carry a piece of the answer without an id, behind which no server can be asked to go on?"""
+        """Whether it carries data without an id, after which no other server can resume the stream."""
         return self.id is None and _DATA.search(self.data) is not None
 
 
 class EventSplitter:
-    """Takes the stream's bytes in whatever pieces, gives whole events."""
+    """Split a byte stream, fed in pieces of any size, into complete events."""
 
     def __init__(self) -> None:
-        """Nothing has come."""
+        """Start with an empty buffer."""
         self._buffer = bytearray()
-        self.searched_bytes = 0  # bytes of the buffer that hold no event's end
+        self.searched_bytes = 0  # bytes of the buffer that were searched for a terminator
 
     @property
     def remainder(self) -> bytes:
-        """Bytes behind the last whole event."""
+        """The bytes after the last complete event."""
         return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that these bytes complete; raises `EventTooLarge`."""
+        """Add bytes and return the events that they complete; raises `EventTooLarge`."""
         self._buffer += data
         events = []
         while match := _TERMINATOR.search(
@@ -57,7 +57,7 @@
             self.searched_bytes = 0
         self.searched_bytes = len(self._buffer)
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise EventTooLarge("an event without an end")
+            raise EventTooLarge(f"event not terminated within {MAX_EVENT_BYTES} bytes")
         return events
 
 
--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -1,4 +1,4 @@
-"""One client's request from its arrival to the end of its answer."""
+"""The handling of one client request, from its arrival to the end of its response."""
 
 from __future__ import annotations
 
@@ -31,35 +31,35 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-RETRY_AFTER_S = 0.4  # told_revision to a client whose request has not run
+RETRY_AFTER_S = 0.4  # sent to a client whose request was not executed
 RETRY_AFTER_LINE = b"Retry-After: %.3f\r\n" % RETRY_AFTER_S
-SERVER_SILENCE_NS = 1500 * NS_PER_MS  # without a word from a server, at the end of which it counts as failed
-MIN_TIME_LEFT_NS = 20 * NS_PER_MS  # with less time left nothing is sent any more
-MAX_SHORT_OUTPUT_TOKENS = 32  # an answer of so many tokens is done soon
-MAX_BUFFERED_BODY_BYTES = 256 * 1024  # a longer one is passed on in pieces
+SERVER_SILENCE_NS = 1500 * NS_PER_MS  # a server without a response head after this long counts as failed
+MIN_TIME_LEFT_NS = 20 * NS_PER_MS  # a request with less time left is not sent to a server
+MAX_SHORT_OUTPUT_TOKENS = 32  # a longer output keeps off servers that prepare new weights
+MAX_BUFFERED_BODY_BYTES = 256 * 1024  # a longer body is streamed to the client
 
 
 class Exchange:
-    """Finds a server, passes the answer on, and goes on elsewhere where that is allowed."""
+    """Choose a server, forward its response, and retry on another server where that is allowed."""
 
     def __init__(
         self, plane: PlaneState, client: ClientConnection, request: ClientRequest, keep: bool
     ) -> None:
-        """`keep`: does the client's connection go on after the answer?"""
+        """`keep`: whether the client's connection is kept open after the response."""
         self.plane = plane
         self.client = client
         self.request = request
         self.response = ClientResponse(client, keep, request.version)
-        self.tried_servers: list[Server] = []  # servers to which it was sent
+        self.tried_servers: list[Server] = []  # servers to which the request was sent
         self.excluded_instances: set[str] = set()
         self.may_have_run = False
         self.last_event_id = request.last_event_id
-        self.resume_point_lost = False  # did the last piece that was passed on bear no id?
+        self.resume_point_lost = False  # the last data forwarded to the client had no event id
         self.service = self._pick_service()
         self.prompt = PromptParts(plane, request, self.service)
         self.timing = RequestTiming(request.arrived_at, clock())
-        self._canary_loaded = False  # was the attempt sent while a new version's servers are kept busy?
-        self._unread: int = 0  # pieces that the attempt's server still has to read
+        self._canary_loaded = False  # the attempt was sent while a rollout put load on its canary servers
+        self._unread_pieces: int = 0  # prompt pieces that the attempt's server has yet to prefill
 
     def _pick_service(self) -> str:
         targets = self.request.route.targets
@@ -67,10 +67,9 @@
             return targets[0].target
         return self.plane.rng.choices(targets, [target.share for target in targets])[0].target
 
-    # ---- the whole
-
+    # ---- the request as a whole
     def run(self) -> None:
-        """Answer the request, whatever happens."""
+        """Respond to the request, whatever the outcome."""
         counters = self.plane.counters
         counters.requests += 1
         self.plane.retry_budget(self.service).earn()
@@ -95,13 +94,13 @@
                 return
 
     def _next_server(self) -> Server | None:
-        """The server for the next attempt; None where there is none, or it may not be sent again."""
+        """Return the server for the next attempt; None if there is none or the request may not be sent again."""
         now = clock()
         self.prompt.clear_lookups()
         if self.may_have_run and not self.request.idempotent:
             return None
         if self.resume_point_lost:
-            return None  # another server would begin before that piece
+            return None  # another server would repeat the data that has no id
         if self.request.attempt_deadline - now < MIN_TIME_LEFT_NS or not self._may_send():
             return None
         if len(self.tried_servers) >= self.request.route.max_tries:
@@ -112,7 +111,7 @@
         return server
 
     def _may_send(self) -> bool:
-        """Is the key, where one is needed, still confirmed?"""
+        """Return whether the API key, where one is needed, is still covered by the key lease."""
         return not self.request.needs_key or self.plane.key_lease.is_valid(clock())
 
     def _give_up(self) -> None:
@@ -131,14 +130,16 @@
         else:
             self.response.send(status, body, b"")
 
-    # ---- which server
+    # ---- choice of a server
 
     def _choose_server(self, now: int) -> Server | None:
         all_servers = self.plane.servers.of_service(self.service)
-        listed = self.plane.rollouts.allowed_servers(
+        allowed_servers = self.plane.rollouts.allowed_servers(
             self.service, all_servers, bool(self.tried_servers), now, self.plane.rng
         )
-        usable = [s for s in listed if s.usable(now) and s.instance_id not in self.excluded_instances]
+        usable = [
+            s for s in allowed_servers if s.usable(now) and s.instance_id not in self.excluded_instances
+        ]
         usable = [s for s in usable if not s.ejected] or usable
         model = self.request.model
         if model is not None:
@@ -150,7 +151,7 @@
     # ---- one attempt
 
     def _attempt(self, server: Server) -> bool:
-        """Send it to a server and pass the answer on; false where another server may be asked."""
+        """Send the request to a server and forward the response; return False where a retry may follow."""
         plane, request = self.plane, self.request
         attempt = Attempt(plane.scheduler, plane.links, server, self.client, request.attempt_deadline)
         if self.tried_servers:
@@ -158,12 +159,12 @@
         cache = self.prompt.cache_use(server)
         if cache is not None:
             attempt.begin_by = partial(plane.begin_by, request.model, cache.revision)
-        began = clock()
+        started_at = clock()
         self._canary_loaded = plane.rollouts.is_canary_loaded(self.service)
-        self._unread = chunks_to_prefill(self.prompt.prompt_for(server))
+        self._unread_pieces = chunks_to_prefill(self.prompt.prompt_for(server))
         fetches = cache is not None and cache.fetch_from is not None
-        self.timing.record_sent(began, self._unread, server.load, fetches)
-        server.began(self._unread)
+        self.timing.record_sent(started_at, self._unread_pieces, server.load, fetches)
+        server.began(self._unread_pieces)
         self.prompt.begin_prompt_read(server)
         try:
             attempt.send(self._encode_request(server, cache), partial(self._may_send_to, cache))
@@ -179,8 +180,8 @@
         except SendForbidden:
             return False
         except (ClientDisconnected, DeadlinePassed):
-            if attempt.head is None and clock() - began > SERVER_SILENCE_NS:
-                server.failed(clock())  # it said nothing for so long that the client has given up
+            if attempt.head is None and clock() - started_at > SERVER_SILENCE_NS:
+                server.failed(clock())  # the server was silent until the client gave up
                 self.plane.rollouts.failed(server, request.route.label)
             raise
         except (EventTooLarge, http.Malformed) as error:
@@ -196,15 +197,15 @@
             attempt.close()
 
     def _may_send_to(self, cache: CacheUse | None) -> bool:
-        """May it be sent now, to a server on the weights that it expects?"""
+        """Return whether the request may be sent now, to a server on the expected weights."""
         if not self._may_send():
             return False
         return cache is None or cache.revision >= self.plane.required_revision(self.request.model, clock())
 
     def _note_prompt_read(self, server: Server) -> None:
-        """The prompt is read, or the attempt is over."""
-        server.prefill_finished(self._unread)
-        self._unread = 0
+        """Record that the prompt was read, or that the attempt is over."""
+        server.prefill_finished(self._unread_pieces)
+        self._unread_pieces = 0
 
     def _note_failure(self, server: Server, failure: AttemptFailed) -> None:
         self.plane.rollouts.failed(server, self.request.route.label)
@@ -233,19 +234,21 @@
     def _handle_response(self, attempt: Attempt, server: Server, cache: CacheUse | None) -> bool:
         request = self.request
         head = attempt.read_head(request.attempt_id)
-        said = classify_response(head)
-        if said is ResponseClass.NOT_EXECUTED:
+        response_class = classify_response(head)
+        if response_class is ResponseClass.NOT_EXECUTED:
             self._discard_body(attempt)
             self._note_rejection(server, head)
             return False
-        if said is ResponseClass.UNKNOWN:
-            raise AttemptFailed(f"status {head.status} without a promise or a seal", may_have_run=True)
+        if response_class is ResponseClass.UNKNOWN:
+            raise AttemptFailed(
+                f"status {head.status} without the not-executed or the seal header", may_have_run=True
+            )
         if request.model is not None and cache is not None:
             self.plane.older_weights.record_begun(
                 BegunRequest(server.instance_id, request.model, cache.revision, attempt.sent_at, clock())
             )
         self._learn_revision(server, head)
-        if said is ResponseClass.FAILURE:
+        if response_class is ResponseClass.FAILURE:
             if head.status >= 500:
                 server.outcomes.failed(clock())
                 self.plane.rollouts.failed(server, request.route.label)
@@ -267,17 +270,17 @@
 
     @staticmethod
     def _discard_body(attempt: Attempt) -> None:
-        """Read an answer that is not passed on to its end, so that the connection can be used again."""
+        """Read a response that is not forwarded to its end, so that the connection can be reused."""
         try:
             for _ in attempt.read_body():
                 pass
         except AttemptFailed:
-            attempt.close()  # what its head promised holds, whatever becomes of its body
+            attempt.close()  # the head response_class "not executed", which holds even if the body is cut off
             return
         attempt.finish()
 
     def _note_rejection(self, server: Server, head: http.Head) -> None:
-        """It turned the request away: for its being full, another instance, or of other weights."""
+        """Record a rejection: the server is full, is another instance, or has other weights."""
         self.excluded_instances.add(server.instance_id)
         self._learn_revision(server, head)
         server.rejected(clock())
@@ -287,10 +290,10 @@
         if told_revision.isdigit() and self.request.model is not None:
             server.record_revision(self.request.model, int(told_revision))
 
-    # ---- passing on
+    # ---- forwarding
 
     def _forward_body(self, attempt: Attempt) -> None:
-        """Pass on an answer that is no stream: whole where it is short, else in pieces."""
+        """Forward a response that is no event stream: a short one at once, a longer one in pieces."""
         body = bytearray()
         pieces = attempt.read_body()
         for piece in pieces:
@@ -301,13 +304,13 @@
         head = attempt.head
         self.timing.record_output(clock())
         attempt.finish()
-        if self.response.begun:  # a stream that went on elsewhere and failed there
+        if self.response.begun:  # an event stream was resumed on this server, which answered with an error
             self.response.abort()
             return
         self.response.send(head.status, bytes(body), head.passed_on(frozenset()))
 
     def _stream_body(self, attempt: Attempt, first: bytes, pieces) -> None:
-        if self.response.begun:  # a stream that went on elsewhere and failed there
+        if self.response.begun:  # an event stream was resumed on this server, which answered with an error
             self.response.abort()
             return
         self.response.begin(attempt.head)
@@ -321,14 +324,14 @@
         self.response.end()
 
     def _forward_events(self, attempt: Attempt, server: Server) -> None:
-        """Pass on whole events as they come; those that the client has from an earlier attempt are left out."""
+        """Forward complete events as they arrive, without those the client has from an earlier attempt."""
         splitter = EventSplitter()
         first = True
         for piece in attempt.read_body():
             self._note_prompt_read(server)
             events = splitter.feed(piece)
-            passed = [event for event in events if self._is_new(event.id)]
-            data = b"".join(event.data for event in passed)
+            new_events = [event for event in events if self._is_new(event.id)]
+            data = b"".join(event.data for event in new_events)
             for event in events:
                 if event.revision is not None and self.request.model is not None:
                     server.record_revision(self.request.model, event.revision)
@@ -339,7 +342,7 @@
             first = False
             self.timing.record_output(clock())
             self.response.write(data)
-            self._note_forwarded(passed)
+            self._note_forwarded(new_events)
         if splitter.remainder:
             raise AttemptFailed("the stream ends inside an event", may_have_run=True)
         if not self.response.begun:
@@ -347,7 +350,7 @@
         self.response.end()
 
     def _note_forwarded(self, events: list[Event]) -> None:
-        """These have gone to the client: where would another server go on?"""
+        """Update the point at which another server would resume, after these events went to the client."""
         for event in events:
             if event.id is not None:
                 self.last_event_id = event.id
@@ -360,13 +363,15 @@
 
 
 def _wait_for_startup(plane: PlaneState, client: ClientConnection, message: http.Message) -> None:
-    """Wait for what all_servers request needs; one that cannot be read is judged by what comes next."""
+    """Wait until the process can serve; an unreadable timeout is rejected later, by `read_request`."""
     with suppress(Rejected):
         plane.startup_gate.wait(client, int(client_timeout_ms(message.head.fields) * NS_PER_MS))
 
 
-def handle_request(plane: PlaneState, client: ClientConnection, message: http.Message, arrived: int) -> bool:
-    """Answer one request; whether the client's connection goes on."""
+def handle_request(
+    plane: PlaneState, client: ClientConnection, message: http.Message, arrived_at: int
+) -> bool:
+    """Respond to one request; return whether the client's connection is kept open."""
     keep = message.head.keeps_alive and not plane.draining and not client.listener.closing
     if not plane.startup_gate.open:
         _wait_for_startup(plane, client, message)
@@ -374,9 +379,11 @@
         client.write(http.response(503, b"no configuration yet\n", b"Retry-After: 0.5\r\n", close=True))
         return False
     try:
-        request = read_request(plane.active, message, arrived, plane.key_lease.is_valid(clock()))
+        request = read_request(plane.active, message, arrived_at, plane.key_lease.is_valid(clock()))
     except Rejected as rejection:
-        keep = keep and rejection.status != 400  # what cannot be read may be followed by anything
+        keep = (
+            keep and rejection.status != 400
+        )  # after a malformed request the bytes that follow cannot be trusted
         lines = RETRY_AFTER_LINE if rejection.status == 503 else b""
         client.write(
             http.response(rejection.status, rejection.reason.encode() + b"\n", lines, close=not keep)
--- a/iristrack/dataplane/lateness.py
+++ b/iristrack/dataplane/lateness.py
@@ -1,6 +1,6 @@
-"""Why an answer was late: what took most of the time of a request whose answer passed its route's target_ns.
+"""Why a response was late: what took most of the time when its route's latency target was missed.
 
-The time is measured here, at the sidecar; the ways to and from the client come on top.
+Times are measured at the sidecar; network time to and from the client is not included.
 """
 
 from __future__ import annotations
@@ -12,24 +12,23 @@
 from iristrack.placement.rollouts import AnswerTimes
 
 NS_PER_MS = 1_000_000
-BEFORE_SEND_RATIO = (
-    0.5  # of the target_ns; what had passed before the last sending counts as its reason from there on
-)
+# Of the latency target: if more has passed before the last attempt was sent, that phase is the reason.
+BEFORE_SEND_RATIO = 0.5
 
 
 class LateReason(Enum):
-    """The one reason that is told of a late answer."""
+    """The main reason for a late response; each late response has one."""
 
-    START = "start"  # it waited for this process to be able to serve
-    RETRIES = "retries"  # earlier servers turned it away, broke off or were silent
-    PAUSE = "pause"  # the first event came in time, and a later one did not
-    READ = "read"  # its own prompt was most of what the server had to read before it
-    MOVE = "move"  # as little was to be read, the server fetched the parts of its prompt
-    WAIT = "wait"  # others were before it at the server
+    START = "start"  # it waited for this process to start up
+    RETRIES = "retries"  # earlier servers rejected it, broke off or did not respond
+    PAUSE = "pause"  # the first event was in time, a later one was not
+    READ = "read"  # its own prompt was most of what the server had to prefill
+    MOVE = "move"  # the server had little to prefill and fetched the prompt's parts
+    WAIT = "wait"  # it was queued behind other requests at the server
 
 
 class RequestTiming:
-    """The times of one request. All are in nanoseconds of the monotonic clock."""
+    """The times of one request, in nanoseconds of the monotonic clock."""
 
     __slots__ = (
         "_arrived_at",
@@ -44,10 +43,10 @@
         "_started_at",
     )
 
-    def __init__(self, arrived: int, began: int) -> None:
-        """`arrived` is when its last byte was read, `began` when this process could begin with it."""
-        self._arrived_at = arrived
-        self._started_at = began
+    def __init__(self, arrived_at: int, started_at: int) -> None:
+        """`arrived_at`: when its last byte was read; `started_at`: when this process could start to handle it."""
+        self._arrived_at = arrived_at
+        self._started_at = started_at
         self._sent_at: int | None = None
         self._own_pieces = 0
         self._others_load = 0
@@ -55,15 +54,15 @@
         self._first_output_at: int | None = None
         self._last_output_at = 0
         self._max_gap = 0
-        self._output_count = 0  # of the answer, that were passed on
+        self._output_count = 0  # response pieces forwarded
 
     def record_sent(self, now: int, own_pieces: int, others_load: int, fetches: bool) -> None:
-        """It is sent to a server that has so much to do for it and for others (pieces), and may fetch its parts."""
+        """Record that the request is sent; both loads count prompt pieces; `fetches`: its prompt parts are fetched."""
         self._sent_at = now
         self._own_pieces, self._others_load, self._fetches = own_pieces, others_load, fetches
 
     def record_output(self, now: int) -> None:
-        """A part of the answer goes to the client."""
+        """Record that a piece of the response goes to the client."""
         if self._first_output_at is None:
             self._first_output_at = now
         else:
@@ -72,14 +71,14 @@
         self._output_count += 1
 
     def times(self) -> AnswerTimes | None:
-        """How long the answer took; None where there was none, or parts of it came from an earlier server."""
+        """Return the response times; None without a response, or if parts of it came from an earlier server."""
         if self._first_output_at is None or self._sent_at is None or self._first_output_at < self._sent_at:
             return None
-        pause_ns = (self._last_output_at - self._first_output_at) // max(1, self._output_count - 1)
-        return AnswerTimes(self._first_output_at - self._sent_at, pause_ns)
+        mean_gap_ns = (self._last_output_at - self._first_output_at) // max(1, self._output_count - 1)
+        return AnswerTimes(self._first_output_at - self._sent_at, mean_gap_ns)
 
     def reason(self, route: Route) -> LateReason | None:
-        """Why the answer was late; None where it was in time, or there was none."""
+        """Return why the response was late; None if it was in time or there was none."""
         if self._first_output_at is None or self._sent_at is None:
             return None
         target_ns = int(route.target_latency_ms * NS_PER_MS)
@@ -97,17 +96,17 @@
 
 
 class LateCounts:
-    """How many answers were late, by reason."""
+    """Counts of late responses by reason."""
 
     def __init__(self) -> None:
-        """None was."""
+        """Start with all counts at zero."""
         self._counts: Counter[LateReason] = Counter()
 
     def count(self, reason: LateReason | None) -> None:
-        """Count one answer that was late for this reason, or was not."""
+        """Count one response; `reason` is None if it was not late."""
         if reason is not None:
             self._counts[reason] += 1
 
     def metrics(self) -> dict[str, int]:
-        """The counts by name, for the log and the metrics."""
+        """Return the counts by name, for the log and the metrics."""
         return {f"late_{reason.value}": self._counts[reason] for reason in LateReason}
--- a/iristrack/dataplane/load_reports.py
+++ b/iristrack/dataplane/load_reports.py
@@ -1,4 +1,4 @@
-"""Telling the other sidecars what this one has under way, and taking in what they told."""
+"""Reporting this sidecar's in-flight load to the hub, and applying the loads of the other sidecars."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 from iristrack.wire.connection import PeerConnection
 from iristrack.wire.messages import ServerLoad, ServerLoads
 
-OUTLIER_CHECK_INTERVAL_NS = 100_000_000  # between two looks at which servers fail too many requests
+OUTLIER_CHECK_INTERVAL_NS = 100_000_000  # between two outlier checks (servers that fail too many requests)
 
 
 class HubFinder(Protocol):
-    """Knows the core member that sums loads."""
+    """Finds the core member that sums loads."""
 
     def hub(self) -> PeerConnection | None:
-        """The connection to it, None while there is none."""
+        """Return the connection to it; None while there is none."""
 
 
 class LoadReporter:
-    """Sends this sidecar's loads to the hub and follows the sum of all sidecars' that the hub tells."""
+    """Report this sidecar's loads to the hub, and apply the total of all sidecars that the hub sends."""
 
     def __init__(self, plane: PlaneState, finder: HubFinder) -> None:
-        """Starts with the first turn of the loop."""
+        """Schedule the first report."""
         self.plane = plane
         self.finder = finder
         self._stream = ReportStream(plane.settings.node_name)
-        self._reported: dict[str, ServerLoad] = {}  # as the hub was told
-        self._total: dict[str, ServerLoad] = {}  # as the hub told, this sidecar's among them
+        self._reported: dict[str, ServerLoad] = {}  # this sidecar's loads as last reported to the hub
+        self._total: dict[str, ServerLoad] = {}  # as the hub sent it, including this sidecar's loads
         self._reported_hub: PeerConnection | None = None
         self._last_total_at = 0
         self._outliers_checked_at = 0
-        self._last_total_number = 0  # the hub's number of the newest report that was followed
+        self._last_total_number = 0  # sequence number of the newest total that was applied
         plane.scheduler.call_at(self.plane.scheduler.now() + self._interval, self._tick)
 
     @property
@@ -50,7 +50,7 @@
         return report_interval(self.plane.sidecar_count if self._last_total_at else 0)
 
     def on_total(self, message: ServerLoads) -> None:
-        """The hub told the sum of all sidecars, or what has changed of it."""
+        """Apply the hub's total of all sidecars, or a change to it."""
         self._last_total_at = self.plane.scheduler.now()
         if not message.partial:
             self._total = by_instance(message.loads)
@@ -59,13 +59,13 @@
             apply_changes(self._total, message.loads)
             changed = [load.instance for load in message.loads]
         else:
-            return  # a report before it was left out: the next whole one counts
+            return  # a change was missed: wait for the next complete total
         self._last_total_number = message.count
         self.plane.set_sidecar_count(message.sidecars)
         self._update_servers(changed)
 
     def _update_servers(self, changed: Iterable[str] | None = None) -> None:
-        """Have servers know what is under way there but for this sidecar's own: those of these instances, or all."""
+        """Set the load from other sidecars on the changed servers, or on all if `changed` is None."""
         servers = self.plane.servers.servers
         for instance in servers if changed is None else changed:
             server = servers.get(instance)
--- a/iristrack/dataplane/older_weights.py
+++ b/iristrack/dataplane/older_weights.py
@@ -1,4 +1,4 @@
-"""What requests began on older weights than were named: figures, and a line of the log."""
+"""Metrics and log lines on requests that began on older weights than the newest named revision."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from iristrack.engines.named_weights import NamedWeights
 
 NS_PER_MS = 1_000_000
-LOG_INTERVAL_NS = 1000 * NS_PER_MS  # at most one line in so long
+LOG_INTERVAL_NS = 1000 * NS_PER_MS  # at most one log line per interval
 
 
 @dataclass(frozen=True, slots=True)
 class BegunRequest:
-    """A request that a server has begun."""
+    """A request that a server has begun to execute."""
 
     instance_id: str
     model: str
-    revision: int  # of the server's weights, as the request was told to expect them
+    revision: int  # of the server's weights, as expected by the request
     sent_at: int  # ns
-    begun_at: int  # ns, when the answer's head came
+    begun_at: int  # ns, when the response's head arrived
 
 
 class OlderWeights:
-    """Counts requests that began on older weights, and how old those were then."""
+    """Counts requests that began on older weights, and tracks how long those had been superseded."""
 
     def __init__(self, named: NamedWeights, log=None) -> None:
-        """`log` takes the lines; None: there are none."""
+        """`log` receives the log lines; None: nothing is logged."""
         self.named = named
         self.log = log
         self.begun_count = 0
-        self.cancelled_count = 0  # requests that a server had not begun before their time was over
-        self.max_sent_ms = 0  # after a newer revision was named
+        self.cancelled_count = 0  # requests cancelled as the server had not begun them in time
+        self.max_sent_ms = 0  # since a newer revision was named
         self.max_begun_ms = 0
         self._next_log_at = 0
 
     def record_begun(self, request: BegunRequest) -> None:
-        """A server has begun a request."""
+        """Record that a server has begun a request."""
         superseded_at = self.named.superseded_at(request.model, request.revision)
         if superseded_at is None:
             return
@@ -59,7 +59,7 @@
             )
 
     def metrics(self) -> dict[str, int]:
-        """For the log and `/metrics`; times in milliseconds after a newer revision was named."""
+        """Return the metrics for the log and `/metrics`; times are in ms since a newer revision was named."""
         return {
             "older_weights_begun": self.begun_count,
             "older_weights_taken_back": self.cancelled_count,
--- a/iristrack/dataplane/program.py
+++ b/iristrack/dataplane/program.py
@@ -1,4 +1,4 @@
-"""The data plane as a process: settings, listeners, signals and an orderly end."""
+"""The data plane process: settings, listeners, signals and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -24,31 +24,33 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-CLIENT_DESCRIPTOR_RATIO = 0.5  # of the descriptors
-SERVER_DESCRIPTOR_RATIO = 0.35
-SERVER_IDLE_TIMEOUT_NS = 5 * NS_PER_S  # connections to servers are kept idle for so long
-DRAIN_ACCEPT_NS = 2500 * NS_PER_MS  # new clients come for so long after readiness is withdrawn
-STOP_MARGIN_NS = 600 * NS_PER_MS  # before the grace ends
+CLIENT_DESCRIPTOR_RATIO = 0.5  # of the file descriptors, for client connections
+SERVER_DESCRIPTOR_RATIO = 0.35  # of the file descriptors, for server connections
+SERVER_IDLE_TIMEOUT_NS = 5 * NS_PER_S  # idle server connections are closed after this
+DRAIN_ACCEPT_NS = 2500 * NS_PER_MS  # new connections are accepted this long after readiness ends
+STOP_MARGIN_NS = 600 * NS_PER_MS  # the process ends this long before the grace period does
 METRICS_LOG_INTERVAL_NS = 10 * NS_PER_S
-# So long after its first configuration a sidecar serves by it though no majority of the core has confirmed it.
+# A sidecar is ready this long after its first configuration, even if no majority of the core has confirmed it.
 MAX_UNCONFIRMED_NS = 1500 * NS_PER_MS
 
 
 class DataPlane:
-    """All parts of one data plane process."""
+    """The parts of one data plane process, wired together."""
 
     def __init__(self, settings: Settings, log, reload_settings: Callable[[], Settings | None]) -> None:
-        """Nothing listens before `start`; `reload_settings` is called at SIGHUP, None: they stay as they were."""
+        """Listen on nothing before `start`; SIGHUP calls `reload_settings`, which returns None to keep the settings."""
         self.settings = settings
         self.reload_settings = reload_settings
         self.log = log
         self.scheduler = Scheduler(lambda text: log.exception(text))
-        most = settings.limits.max_fds or 1024
-        links = Links(self.scheduler, SERVER_IDLE_TIMEOUT_NS, int(most * SERVER_DESCRIPTOR_RATIO), whole=0)
+        max_descriptors = settings.limits.max_fds or 1024
+        links = Links(
+            self.scheduler, SERVER_IDLE_TIMEOUT_NS, int(max_descriptors * SERVER_DESCRIPTOR_RATIO), whole=0
+        )
         links.connect = connect_to_server
         self.plane = PlaneState(settings, self.scheduler, links, random.Random())
         self.plane.older_weights.log = log
-        self.max_clients = int(most * CLIENT_DESCRIPTOR_RATIO)
+        self.max_clients = int(max_descriptors * CLIENT_DESCRIPTOR_RATIO)
         self.control_link: ControlLink | None = None
         self.listener: ClientListener | None = None
         self.readiness: HttpServer | None = None
@@ -56,7 +58,7 @@
         self._confirmed = False
 
     def start(self) -> None:
-        """Listen and dial; raises `OSError` where an address cannot be had."""
+        """Start to listen and to dial the core; raises `OSError` if an address cannot be bound."""
         bind = self.settings.bind
         self.readiness = HttpServer(
             self.scheduler, _host_port(bind.readiness), self._answer_readiness, 64 * 1024
@@ -70,7 +72,7 @@
         self.scheduler.call_at(clock() + METRICS_LOG_INTERVAL_NS, self._report)
 
     def run(self, signals: socket.socket) -> None:
-        """Serve until SIGTERM or SIGINT has been obeyed."""
+        """Serve until the shutdown after SIGTERM or SIGINT is complete."""
         self.scheduler.watch(signals.fileno(), lambda: self._on_signals(signals.recv(64)))
         gc.collect()
         gc.freeze()
@@ -102,9 +104,9 @@
 
     @property
     def ready(self) -> bool:
-        """Does it take clients: with servers to send to, and a configuration that a majority of the core confirms?
+        """Whether the process takes clients: it has servers, and a majority of the core confirms its configuration.
 
-        Where no majority can be heard, the newest configuration that can be had counts after `UNCONFIRMED_NS`.
+        Without a reachable majority the newest available configuration counts after `MAX_UNCONFIRMED_NS`.
         """
         if self.plane.draining or self.plane.active is None or not self.plane.servers.has_list:
             return False
@@ -123,13 +125,13 @@
             self.stop()
 
     def _reload(self) -> None:
-        fresh = self.reload_settings()
-        if fresh is not None:
-            self.settings = self.plane.settings = fresh
+        new_settings = self.reload_settings()
+        if new_settings is not None:
+            self.settings = self.plane.settings = new_settings
             self.control_link.dial_members()
 
     def stop(self) -> None:
-        """Withdraw readiness, serve what still comes, then end with the last answer or the grace."""
+        """Withdraw readiness, drain, then end with the last response or at the end of the grace period."""
         if self.plane.draining:
             return
         self.plane.draining = True
@@ -176,7 +178,7 @@
 
 
 def raise_descriptor_limit(most: int | None) -> None:
-    """Have as many descriptors as the settings promise, where the system allows it."""
+    """Raise the soft limit of file descriptors to `most`, as far as the hard limit allows."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if most is not None and soft != resource.RLIM_INFINITY and soft < most:
         allowed = most if hard == resource.RLIM_INFINITY else min(most, hard)
--- a/iristrack/dataplane/prompt_parts.py
+++ b/iristrack/dataplane/prompt_parts.py
@@ -1,4 +1,4 @@
-"""What is kept of one request's prompt, where, and what the chosen server is told of it."""
+"""Where the parts of one request's prompt are cached, and the cache headers for the chosen server."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from iristrack.prefix_index.pending_prefills import ExpectedPrefix
 from iristrack.runtime.scheduler import clock
 
-MIN_FETCH_TOKENS = 64  # fewer are read faster than they are moved
+MIN_FETCH_TOKENS = 64  # prefilling fewer tokens is faster than fetching them
 
 
 @dataclass(frozen=True, slots=True)
 class CacheUse:
-    """Where a request finds and leaves the parts of its prompt."""
+    """From where a request fetches cached prompt parts, and where it saves them."""
 
     revision: int
     salt: str
@@ -27,7 +27,7 @@
     save_to: str | None
 
     def header_lines(self) -> bytes:
-        """What the server is told."""
+        """Return the cache headers for the server."""
         lines = [b"Cache-Salt: %b\r\n" % header_text(self.salt)]
         if self.revision:
             lines.append(b"Expect-Version: %d\r\n" % self.revision)
@@ -39,23 +39,23 @@
 
 
 class PromptParts:
-    """One request's prompt at the servers and stores of its service."""
+    """Cache lookups for one request's prompt at the servers and stores of its service."""
 
     def __init__(self, plane: PlaneState, request: ClientRequest, service: str) -> None:
-        """Nothing is looked up yet."""
+        """Do no lookup yet."""
         self.plane = plane
         self.request = request
         self.service = service
-        self._coverage_by_salt: dict[str, dict[str, int]] = {}  # by salt, kept tokens by holder
+        self._coverage_by_salt: dict[str, dict[str, int]] = {}  # by salt: cached tokens by holder
         self._read_by_salt: dict[str, ExpectedPrefix | None] = {}  # by salt
 
     def clear_lookups(self) -> None:
-        """Another attempt begins: what is kept may have changed."""
+        """Clear cached lookups before another attempt, as the caches may have changed."""
         self._coverage_by_salt.clear()
         self._read_by_salt.clear()
 
     def prompt_for(self, server: Server) -> PrefillEstimate:
-        """What the server would have to do with the prompt."""
+        """Return the prompt as a load on the server: its tokens, and those cached there and elsewhere."""
         request = self.request
         if not request.parts or request.model is None:
             return PrefillEstimate(request.prompt_tokens, 0, 0)
@@ -71,7 +71,7 @@
         )
 
     def cache_use(self, server: Server) -> CacheUse | None:
-        """What the request is told of kept prompts; None where it names no model."""
+        """Return the cache use of the request at the server; None if it names no model."""
         request = self.request
         if request.model is None:
             return None
@@ -98,7 +98,7 @@
         return cache_salt(model, server.revisions.get(model, 0), isolated)
 
     def _coverage(self, salt: str) -> dict[str, int]:
-        """How much of the prompt each server and store keeps under the salt."""
+        """Return how many prompt tokens each server and store holds under the salt."""
         known = self._coverage_by_salt.get(salt)
         if known is None:
             request = self.request
@@ -109,14 +109,14 @@
         return known
 
     def _inflight_read(self, salt: str) -> ExpectedPrefix | None:
-        """What a server is reading of the prompt for an earlier request of this sidecar."""
+        """Return the prefill of this prompt's parts that is in flight for an earlier request of this sidecar."""
         if salt not in self._read_by_salt:
             reads = self.plane.pending_prefills
             self._read_by_salt[salt] = reads.expected(salt, self.request.model, self.request.parts, clock())
         return self._read_by_salt[salt]
 
     def begin_prompt_read(self, server: Server) -> None:
-        """The request is sent to the server: what of its shared parts nobody keeps is read there for the first time."""
+        """Record that the server starts to prefill shared parts that are cached nowhere yet."""
         request = self.request
         if request.model is None or not request.parts:
             return
@@ -125,7 +125,7 @@
             self.plane.pending_prefills.begin(salt, request.model, request.parts, server.address, clock())
 
     def end_prompt_read(self, server: Server, salt: str) -> None:
-        """The parts are kept there from now on, or the attempt has failed."""
+        """Record that the parts are cached at the server, or that the attempt has failed."""
         request = self.request
         if request.model is not None and request.parts:
             self.plane.pending_prefills.end(salt, request.model, request.parts, server.address)
--- a/iristrack/dataplane/requests.py
+++ b/iristrack/dataplane/requests.py
@@ -1,4 +1,4 @@
-"""Reading a client's request: its route, its tenant and what it says of its prompt."""
+"""Reading a client's request: its route, its tenant and the headers that describe its prompt."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 NS_PER_MS = 1_000_000
 MAX_CLIENT_TIMEOUT_MS = 3_600_000.0
-DEFAULT_CLIENT_TIMEOUT_MS = 30_000.0  # of a client that does not say
+DEFAULT_CLIENT_TIMEOUT_MS = 30_000.0  # for a client that sends no timeout
 DEFAULT_PRIORITY = 5
 KEYS_UNCONFIRMED_REASON = "not run: the keys that are in force could not be confirmed lately"
 
@@ -32,10 +32,10 @@
 
 
 class Rejected(Exception):
-    """A request that is answered at once, without a server."""
+    """A request that is answered at once, without being sent to a server."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """`reason` is for people."""
+        """`reason` is the human-readable response body."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -43,61 +43,61 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request, as the data plane treats it. Times are in ns of the scheduler's clock."""
+    """One parsed request. Times are in ns of the scheduler's clock."""
 
     attempt_id: bytes
     method: bytes
     target: bytes
-    header_lines: bytes  # header lines that are passed on as they came
+    header_lines: bytes  # header lines that are forwarded unchanged
     body: bytes
     route: Route
     tenant: Tenant | None
     arrived_at: int
-    client_deadline: int  # the client waits until then
-    attempt_deadline: int  # and the operator wants it held until then
+    client_deadline: int  # when the client stops waiting
+    attempt_deadline: int  # the earlier of the client's and the route's timeout
     model: str | None
     parts: tuple[Part, ...]
     prompt_tokens: int
     output_tokens: int
     last_event_id: int | None
-    needs_key: bool  # it may be sent only while the lease of keys holds
+    needs_key: bool  # it may be sent only while the key lease is valid
     keeps_alive: bool
     version: int  # minor version of HTTP/1
 
     @property
     def streaming(self) -> bool:
-        """Is the answer a series of events?"""
+        """Whether the response is an event stream."""
         return self.route.kind is RouteKind.STREAMING
 
     @property
     def idempotent(self) -> bool:
-        """May it run more than once?"""
+        """Whether the request may be executed more than once."""
         return self.route.kind is RouteKind.SAFE or (self.streaming and self.route.resumable)
 
     @property
     def priority(self) -> int:
-        """Rank at the servers, 0 first."""
+        """The priority sent to servers; 0 is the highest."""
         if self.tenant is not None and self.tenant.priority is not None:
             return self.tenant.priority
         return self.route.priority
 
     @property
     def key(self) -> str | None:
-        """The prompt-prefix key: the last part that is shared with other requests, or the only one."""
+        """The prompt-prefix key: the id of the last part shared with other requests, or of the only part."""
         if not self.parts:
             return None
         return self.parts[-2].id if len(self.parts) > 1 else self.parts[0].id
 
     @property
     def memory_tokens(self) -> int:
-        """Of a server's memory, once all of it is there."""
+        """The cache memory, in tokens, that the prompt and the complete output take at a server."""
         return self.prompt_tokens + self.output_tokens
 
 
 def read_request(
     active: ActiveConfiguration, message: http.Message, arrived_at: int, keys_hold: bool = True
 ) -> ClientRequest:
-    """Read a whole request; raises `Rejected`, also for one that needs a key while the keys in force may be old."""
+    """Parse a complete request; raises `Rejected`, also if it needs a key while the known keys may be outdated."""
     head = message.head
     fields = head.fields
     if head.repeated & _SINGLE_HEADERS:
@@ -156,7 +156,7 @@
 
 
 def _key_text(key: bytes) -> str:
-    """A key as the configuration, which is UTF-8, writes it."""
+    """Decode a key as UTF-8, the encoding of the configuration, or else as Latin-1."""
     try:
         return key.decode("utf-8")
     except UnicodeDecodeError:
@@ -164,7 +164,7 @@
 
 
 def client_timeout_ms(fields: dict[bytes, bytes]) -> float:
-    """For how many milliseconds the client will wait; raises `Rejected` where it says so unreadably."""
+    """Return how long the client waits (ms); raises `Rejected` if the header is malformed."""
     value = fields.get(b"x-iristrack-time-left-ms")
     if value is None:
         return DEFAULT_CLIENT_TIMEOUT_MS
@@ -184,7 +184,7 @@
     try:
         return parse_prefix(fields.get(b"x-iristrack-prompt-prefix", b""))
     except MalformedPrefix:
-        return ()  # it is routed like a request without a key; the server judges the header
+        return ()  # routed like a request without a prompt key; the server validates the header
 
 
 def _last_event_id(fields: dict[bytes, bytes]) -> int | None:
--- a/iristrack/dataplane/startup_gate.py
+++ b/iristrack/dataplane/startup_gate.py
@@ -1,8 +1,8 @@
-"""Requests that reach a process before it can serve: they wait a moment for it instead of being refused.
+"""Holding back requests that arrive before the process can serve.
 
-After a loss of power clients come before the process has heard of its configuration and servers; a refusal would use
-up their own retries. Once the process has been able to serve, or has run for a few seconds, nothing waits here:
-what it then cannot serve is refused at once.
+After a power loss clients connect before the process has its configuration and server list; rejecting them would use
+up their retries. Once the process has been able to serve, or has run for MAX_STARTUP_NS, no request waits here:
+what cannot be served then is rejected at once.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from iristrack.runtime.scheduler import Scheduler, Task, clock
 
 NS_PER_MS = 1_000_000
-MAX_STARTUP_NS = 4000 * NS_PER_MS  # a core that has not answered by then may be away for long
+MAX_STARTUP_NS = 4000 * NS_PER_MS  # a core that has not responded by then may be down for long
 MAX_WAIT_NS = 2000 * NS_PER_MS
-WAIT_DIVISOR = 3  # a request waits for at most this part of the time that its client waits
+WAIT_DIVISOR = 3  # a request waits at most its client's timeout divided by this
 
 
 class StartupGate:
-    """Closed deadline the process can serve for the first time, or its start has lasted too long."""
+    """Closed until the process can serve for the first time, or the startup time limit has passed."""
 
     def __init__(self, scheduler: Scheduler, can_serve: Callable[[], bool]) -> None:
-        """`can_serve` is asked whenever something was learned, deadline it says yes."""
+        """`can_serve` is called after each update until it returns true."""
         self.scheduler = scheduler
         self.can_serve = can_serve
         self.open = False
@@ -31,7 +31,7 @@
         self._waiting: set[Task] = set()
 
     def open_if_ready(self) -> None:
-        """Something was learned: let the requests go on if they can be served now."""
+        """Open the gate and wake the waiting requests if they can be served now; call this after each update."""
         if self.open or not (self.can_serve() or clock() >= self._opens_by):
             return
         self.open = True
@@ -39,7 +39,7 @@
             task.wake()
 
     def wait(self, client: ClientConnection, client_timeout_ns: int) -> None:
-        """Return once the gate is open, or after the time for it; raises `ClientDisconnected`."""
+        """Wait until the gate is open or the wait limit has passed; raises `ClientDisconnected`."""
         self.open_if_ready()
         deadline = min(self._opens_by, clock() + min(MAX_WAIT_NS, client_timeout_ns // WAIT_DIVISOR))
         task = self.scheduler.current
--- a/iristrack/dataplane/state.py
+++ b/iristrack/dataplane/state.py
@@ -1,4 +1,4 @@
-"""What the data plane knows: configuration in force, weights that count, servers and kept prompts."""
+"""The data plane's state: the active configuration, named weights, servers and cached prompts."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 NS_PER_MS = 1_000_000
 MAX_INDEX_ENTRIES = 60_000
-# Shares of `older_weights_ms` after a revision was named: so long requests are sent to servers on older ones, and by
-# then they have to have begun there. What is left is for messages under way.
+# Ratios of `older_weights_ms`, counted from the naming of a revision: until SEND_RATIO requests may be sent to servers
+# on older revisions, and by BEGIN_RATIO they must have begun there. The rest allows for messages in transit.
 SEND_RATIO = 0.75
 BEGIN_RATIO = 0.95
 Labelled = TypeVar("Labelled", Route, Tenant)
-DEFAULT_SIDECAR_COUNT = 12  # that share the retry budget while their number is not known
+DEFAULT_SIDECAR_COUNT = 12  # assumed to share the retry budget until the number is known
 
 
 class ActiveConfiguration:
-    """A configuration with its tables."""
+    """A configuration with the lookup tables built from it."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.stores = tuple(s.store for s in configuration.services if s.store is not None)
 
     def amended(self, amendment: Amendment) -> ActiveConfiguration:
-        """Return the configuration after an amendment that was found valid, with tables of which only rows change."""
+        """Return the configuration after a validated amendment; unchanged tables and rows are reused."""
         before = self.configuration
         after = amend_configuration(before, amendment)
         routes = tenants = None
@@ -71,14 +71,14 @@
 
 
 def _amended_items(items: Iterable[Labelled], amendment: Amendment, name: str) -> list[Labelled]:
-    """Return the items of a list that an amendment names."""
+    """Return the items that an amendment names."""
     named = amendment.rows(name).keys() | amendment.removed(name)
     return [item for item in items if item.label in named]
 
 
 @dataclass(slots=True)
 class Counters:
-    """Of requests, for the log."""
+    """Request counters for the log and the metrics."""
 
     requests: int = 0
     served: int = 0
@@ -91,7 +91,7 @@
 
 @dataclass
 class PlaneState:
-    """Shared by all parts of one data plane process."""
+    """The state shared by all parts of one data plane process."""
 
     settings: Settings
     scheduler: Scheduler
@@ -113,7 +113,7 @@
     older_weights: OlderWeights = field(init=False)
 
     def __post_init__(self) -> None:
-        """Requests wait until there are a configuration, servers and, where one is needed, a lease of keys."""
+        """Set up the startup gate, which waits for a configuration, servers and, where one is needed, a key lease."""
         self.startup_gate = StartupGate(self.scheduler, self._can_serve)
         self.older_weights = OlderWeights(self.named_weights)
 
@@ -122,24 +122,24 @@
         return self.active is not None and self.servers.has_list and self.key_lease.is_valid(now)
 
     def required_revision(self, model: str, now: int) -> int:
-        """The oldest revision of a model's weights to which a request may still be sent; 0: any."""
+        """Return the oldest revision of a model's weights to which a request may still be sent; 0: any."""
         return self.named_weights.required(model, now, self._allowance_ns(SEND_RATIO))
 
     def begin_by(self, model: str, revision: int, now: int) -> int:
-        """By when (ns) a request has to have begun on a revision, as far as is known now."""
+        """Return the time (ns) by which a request must have begun on a revision, as far as is known now."""
         return self.named_weights.begin_by(model, revision, now, self._allowance_ns(BEGIN_RATIO))
 
     def _allowance_ns(self, share: float) -> int:
         return int(self.settings.rule_bounds.older_weights_ms * share) * NS_PER_MS
 
     def set_sidecar_count(self, count: int) -> None:
-        """So many data planes share the retry budgets."""
+        """Split the retry budgets among `count` data planes."""
         self.sidecar_count = max(1, count)
         for budget in self.retry_budgets.values():
             budget.set_sidecars(self.sidecar_count)
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service."""
+        """Return the retry budget of a service, created on first use."""
         budget = self.retry_budgets.get(service)
         if budget is None:
             bounds = self.settings.rule_bounds
