--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -33,9 +33,10 @@
 NS_PER_S = 1_000 * NS_PER_MS
 RETRY_AFTER_S = 0.4  # sent to a client whose request was not executed
 RETRY_AFTER_LINE = b"Retry-After: %.3f\r\n" % RETRY_AFTER_S
-SERVER_SILENCE_NS = 1500 * NS_PER_MS  # a server without a response head after this long counts as failed
+# A server counts as failed if it has sent no response head for this long when the client leaves or times out.
+SERVER_SILENCE_NS = 1500 * NS_PER_MS
 MIN_TIME_LEFT_NS = 20 * NS_PER_MS  # a request with less time left is not sent to a server
-MAX_SHORT_OUTPUT_TOKENS = 32  # a longer output keeps off servers that prepare new weights
+MAX_SHORT_OUTPUT_TOKENS = 32  # a longer output is not sent to a server that is about to load new weights
 MAX_BUFFERED_BODY_BYTES = 256 * 1024  # a longer body is streamed to the client
 
 
@@ -68,6 +69,7 @@
         return self.plane.rng.choices(targets, [target.share for target in targets])[0].target
 
     # ---- the request as a whole
+
     def run(self) -> None:
         """Respond to the request, whatever the outcome."""
         counters = self.plane.counters
@@ -275,7 +277,7 @@
             for _ in attempt.read_body():
                 pass
         except AttemptFailed:
-            attempt.close()  # the head response_class "not executed", which holds even if the body is cut off
+            attempt.close()  # a head with "not executed" counts even if the body is cut off
             return
         attempt.finish()
 
@@ -381,9 +383,8 @@
     try:
         request = read_request(plane.active, message, arrived_at, plane.key_lease.is_valid(clock()))
     except Rejected as rejection:
-        keep = (
-            keep and rejection.status != 400
-        )  # after a malformed request the bytes that follow cannot be trusted
+        # After a malformed request the bytes that follow cannot be trusted.
+        keep = keep and rejection.status != 400
         lines = RETRY_AFTER_LINE if rejection.status == 503 else b""
         client.write(
             http.response(rejection.status, rejection.reason.encode() + b"\n", lines, close=not keep)
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -1,6 +1,7 @@
-"""A data plane's core in this process, between stand-in model servers and clients on loopback, all on one scheduler.
+"""A test harness: the data plane's request path between fake model servers and clients on loopback.
 
-Nothing sleeps: servers and clients are tasks that wait for bytes, and a test ends with its last client.
+Everything runs in this process on one scheduler. Servers and clients are tasks that wait for bytes, without sleeps,
+and a test ends when its last client does.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 from iristrack.settings import read_settings
 
 NS_PER_S = 1_000_000_000
-TEST_TIMEOUT_NS = 20 * NS_PER_S  # only a failing test waits so long
+TEST_TIMEOUT_NS = 20 * NS_PER_S  # only a failing test waits this long
 LOOPBACK = ("127.0.0.1", 0)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 MODEL = "daka510000"
@@ -38,13 +39,13 @@
 
 
 def yield_turn(scheduler: Scheduler) -> None:
-    """Let the other tasks take a turn."""
+    """Let the other tasks run for one turn of the event loop."""
     scheduler.call_at(clock(), scheduler.current.wake)
     scheduler.wait(-1, 0, None)
 
 
 class ServerExchange:
-    """One request at a stand-in server, and the connection on which it is answered."""
+    """One request that a fake server received, and the connection for its response."""
 
     def __init__(self, server: FakeModelServer, sock: socket.socket, message: http.Message) -> None:
         self.server = server
@@ -60,7 +61,7 @@
         send_all(self.sock, data, lambda: scheduler.wait(self.sock.fileno(), WRITE, None))
 
     def send_bytewise(self, data: bytes) -> None:
-        """Byte by byte, each in a turn of its own."""
+        """Send the data byte by byte, one byte per turn of the event loop."""
         for at in range(len(data)):
             self.send(data[at : at + 1])
             yield_turn(self.server.scheduler)
@@ -73,7 +74,7 @@
         self.sock.close()
 
     def wait_until_closed(self) -> None:
-        """Until the other side has ended the connection."""
+        """Wait until the other side has closed the connection."""
         with suppress(OSError):
             while True:
                 self.server.scheduler.wait(self.sock.fileno(), READ, None)
@@ -86,7 +87,7 @@
 
 
 def named(answer: bytes, attempt_id: bytes) -> bytes:
-    """The answer with the request's id in its head, as servers echo it, unless there is one already."""
+    """Add the request's id to the response's head, as servers echo it, unless there is one already."""
     head, _, _ = answer.partition(b"\r\n\r\n")
     if not answer.startswith(b"HTTP/") or b"x-iristrack-attempt-id" in head.lower():
         return answer
@@ -95,14 +96,14 @@
 
 
 class FakeModelServer:
-    """Answers its requests one after the other with `answers`, the last one again and again."""
+    """Respond to successive requests with successive `answers`; the last one is repeated."""
 
     def __init__(self, scheduler: Scheduler, answers: tuple[ServerScript, ...]) -> None:
         self.scheduler = scheduler
         self.answers = list(answers)
         self.requests: list[http.Message] = []
         self.opened = 0
-        self.ended = 0  # connections of which `wait_for_end` saw the end
+        self.ended = 0  # connections that `wait_until_closed` saw close
         self._listener = listening(LOOPBACK, 16)
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
@@ -117,7 +118,7 @@
         sock, _ = self._listener.accept()
         sock.setblocking(False)
         self.opened += 1
-        self.scheduler.spawn("stand-in server", self._serve, sock)
+        self.scheduler.spawn("fake model server", self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
         reader = http.Reader(limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
@@ -138,7 +139,7 @@
                 else:
                     answer(exchange)
         except OSError:
-            pass  # the data plane has ended the connection
+            pass  # the data plane has closed the connection
         finally:
             sock.close()
 
@@ -152,7 +153,7 @@
 
 @dataclass
 class Received:
-    """What a client got, and how its connection stood then: "open", "closed" or "reset"."""
+    """What a client received, and the state of its connection afterwards: "open", "closed" or "reset"."""
 
     raw: bytes = b""
     message: http.Message | None = None
@@ -175,7 +176,7 @@
 
 
 class Client:
-    """One connection of a client; its methods run in a task."""
+    """One client connection; its methods run in a task."""
 
     def __init__(self, harness: Harness) -> None:
         self.scheduler = harness.scheduler
@@ -186,7 +187,7 @@
         send_all(self.sock, data, lambda: self.scheduler.wait(self.sock.fileno(), WRITE, None))
 
     def receive(self, until: bytes | None = None) -> Received:
-        """A whole answer, or what came before the connection's end; with `until` at the latest up to that."""
+        """Receive a complete response, or the bytes up to `until` or to the connection's end, whichever is first."""
         received = Received()
         received.message = None if self.reader.empty else self.reader.feed(b"")
         while received.message is None and (until is None or until not in received.raw):
@@ -209,7 +210,7 @@
 
 @dataclass
 class Harness:
-    """The plane, its listener for clients, and the stand-in servers."""
+    """The data plane's state, its client listener, and the fake servers."""
 
     scheduler: Scheduler
     plane: PlaneState
@@ -223,11 +224,11 @@
         return self.listener._listener.getsockname()
 
     def serve(self, *answers: ServerScript, service: str = "pool", revision: int = 1) -> FakeModelServer:
-        """A further server on the list; of those that are equally busy the earlier one is asked first."""
+        """Start a server and add it to the list; of equally loaded servers the first added is chosen first."""
         return self.add(FakeModelServer(self.scheduler, answers), service, revision)
 
     def add(self, server: FakeModelServer, service: str = "pool", revision: int = 1) -> FakeModelServer:
-        """Name a server on the list."""
+        """Add a server to the list."""
         name = f"i-{len(self.entries)}"
         self.servers[name] = server
         self.entries.append(
@@ -244,7 +245,7 @@
         self.plane.active = ActiveConfiguration(parse_configuration(json.dumps(document).encode()))
 
     def run(self, *calls: Callable[[], object]) -> list[Any]:
-        """Run the calls as tasks until all have ended; what they returned."""
+        """Run the calls as tasks until all have ended; return their results."""
         results: list[Any] = [None] * len(calls)
         left = set(range(len(calls)))
 
@@ -259,11 +260,11 @@
         for number in range(len(calls)):
             self.scheduler.spawn(f"call {number}", run_call, number)
         self._turn()
-        assert not left, "it did not come about"
+        assert not left, f"{len(left)} calls did not end"
         return results
 
     def turn_until(self, holds: Callable[[], object]) -> None:
-        """Turn the loop until it holds."""
+        """Run the event loop until `holds` returns true."""
 
         def look() -> None:
             while not holds():
@@ -279,7 +280,7 @@
         assert not self.failures, "\n".join(self.failures)
 
     def ask(self, request: bytes) -> Received:
-        """One request on a connection of its own."""
+        """Send one request on a new connection and return the response."""
 
         def call() -> Received:
             client = Client(self)
@@ -333,12 +334,12 @@
     harness = Harness(scheduler, plane, listener, failures)
     harness.configure(document())
     budget = plane.retry_budget("pool")
-    budget.tokens = budget.capacity  # as of a process that has been running for a while
+    budget.tokens = budget.capacity  # as in a process that has been running for a while
     return harness
 
 
 def client_request(prefix: str, attempt_id: str = "a1", lines: bytes = b"", body: bytes = b"") -> bytes:
-    """A client's request on the route of that prefix."""
+    """Return a client's request on the route with this prefix."""
     fixed = (
         b"Host: h.example\r\nX-Iristrack-Attempt-Id: %b\r\nX-Iristrack-Time-Left-Ms: 9000\r\n"
         % attempt_id.encode()
@@ -356,7 +357,7 @@
 
 
 def stream(first: int, last: int, seal: bytes = b"s1") -> bytes:
-    """A whole stream."""
+    """Return a complete event stream."""
     return stream_head(seal) + chunks(first, last) + http.LAST_CHUNK
 
 
