--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -60,7 +60,7 @@
         self.prompt = PromptParts(plane, request, self.service)
         self.timing = RequestTiming(request.arrived_at, clock())
         self._canary_loaded = False  # the attempt was sent while a rollout put load on its canary servers
-        self._unread_pieces: int = 0  # prompt pieces that the attempt's server has yet to prefill
+        self._pending_chunks: int = 0  # prompt chunks that the attempt's server has yet to prefill
 
     def _pick_service(self) -> str:
         targets = self.request.route.targets
@@ -148,7 +148,7 @@
             usable = servers_with_model(usable, model, self.plane.required_revision(model, now))
         if self.request.output_tokens > MAX_SHORT_OUTPUT_TOKENS:
             usable = [s for s in usable if not s.preparing] or usable
-        return choose_server(usable, self.request.key, self.prompt.prompt_for, self.plane.rng)
+        return choose_server(usable, self.request.key, self.prompt.prefill_estimate, self.plane.rng)
 
     # ---- one attempt
 
@@ -163,11 +163,11 @@
             attempt.begin_by = partial(plane.begin_by, request.model, cache.revision)
         started_at = clock()
         self._canary_loaded = plane.rollouts.is_canary_loaded(self.service)
-        self._unread_pieces = chunks_to_prefill(self.prompt.prompt_for(server))
+        self._pending_chunks = chunks_to_prefill(self.prompt.prefill_estimate(server))
         fetches = cache is not None and cache.fetch_from is not None
-        self.timing.record_sent(started_at, self._unread_pieces, server.load, fetches)
-        server.began(self._unread_pieces)
-        self.prompt.begin_prompt_read(server)
+        self.timing.record_sent(started_at, self._pending_chunks, server.load, fetches)
+        server.began(self._pending_chunks)
+        self.prompt.begin_prefill(server)
         try:
             attempt.send(self._encode_request(server, cache), partial(self._may_send_to, cache))
             return self._handle_response(attempt, server, cache)
@@ -192,9 +192,9 @@
         finally:
             if attempt.written:
                 self.tried_servers.append(server)
-            self._note_prompt_read(server)
+            self._note_prefill_done(server)
             if cache is not None:
-                self.prompt.end_prompt_read(server, cache.salt)
+                self.prompt.end_prefill(server, cache.salt)
             server.ended()
             attempt.close()
 
@@ -204,10 +204,10 @@
             return False
         return cache is None or cache.revision >= self.plane.required_revision(self.request.model, clock())
 
-    def _note_prompt_read(self, server: Server) -> None:
+    def _note_prefill_done(self, server: Server) -> None:
         """Record that the prompt was read, or that the attempt is over."""
-        server.prefill_finished(self._unread_pieces)
-        self._unread_pieces = 0
+        server.prefill_finished(self._pending_chunks)
+        self._pending_chunks = 0
 
     def _note_failure(self, server: Server, failure: AttemptFailed) -> None:
         self.plane.rollouts.failed(server, self.request.route.label)
@@ -258,7 +258,7 @@
             return True
         if request.model is not None and cache is not None and request.parts:
             self.plane.index.record_sent(server.address, cache.salt, request.model, request.parts, clock())
-            self.prompt.end_prompt_read(server, cache.salt)
+            self.prompt.end_prefill(server, cache.salt)
         if request.streaming:
             self._forward_events(attempt, server)
         else:
@@ -288,9 +288,9 @@
         server.rejected(clock())
 
     def _learn_revision(self, server: Server, head: http.Head) -> None:
-        told_revision = head.fields.get(b"versions", b"")
-        if told_revision.isdigit() and self.request.model is not None:
-            server.record_revision(self.request.model, int(told_revision))
+        reported_revision = head.fields.get(b"versions", b"")
+        if reported_revision.isdigit() and self.request.model is not None:
+            server.record_revision(self.request.model, int(reported_revision))
 
     # ---- forwarding
 
@@ -330,7 +330,7 @@
         splitter = EventSplitter()
         first = True
         for piece in attempt.read_body():
-            self._note_prompt_read(server)
+            self._note_prefill_done(server)
             events = splitter.feed(piece)
             new_events = [event for event in events if self._is_new(event.id)]
             data = b"".join(event.data for event in new_events)
--- a/iristrack/dataplane/lateness.py
+++ b/iristrack/dataplane/lateness.py
@@ -38,7 +38,7 @@
         "_max_gap",
         "_others_load",
         "_output_count",
-        "_own_pieces",
+        "_own_chunks",
         "_sent_at",
         "_started_at",
     )
@@ -48,7 +48,7 @@
         self._arrived_at = arrived_at
         self._started_at = started_at
         self._sent_at: int | None = None
-        self._own_pieces = 0
+        self._own_chunks = 0
         self._others_load = 0
         self._fetches = False
         self._first_output_at: int | None = None
@@ -56,10 +56,10 @@
         self._max_gap = 0
         self._output_count = 0  # response pieces forwarded
 
-    def record_sent(self, now: int, own_pieces: int, others_load: int, fetches: bool) -> None:
-        """Record that the request is sent; both loads count prompt pieces; `fetches`: its prompt parts are fetched."""
+    def record_sent(self, now: int, own_chunks: int, others_load: int, fetches: bool) -> None:
+        """Record that the request is sent; both loads are in prefill chunks; `fetches`: prompt parts are fetched."""
         self._sent_at = now
-        self._own_pieces, self._others_load, self._fetches = own_pieces, others_load, fetches
+        self._own_chunks, self._others_load, self._fetches = own_chunks, others_load, fetches
 
     def record_output(self, now: int) -> None:
         """Record that a piece of the response goes to the client."""
@@ -90,7 +90,7 @@
             return LateReason.START
         if self._sent_at - self._started_at > target_ns * BEFORE_SEND_RATIO:
             return LateReason.RETRIES
-        if self._own_pieces > self._others_load:
+        if self._own_chunks > self._others_load:
             return LateReason.READ
         return LateReason.MOVE if self._fetches and not self._others_load else LateReason.WAIT
 
--- a/iristrack/dataplane/prompt_parts.py
+++ b/iristrack/dataplane/prompt_parts.py
@@ -47,27 +47,27 @@
         self.request = request
         self.service = service
         self._coverage_by_salt: dict[str, dict[str, int]] = {}  # by salt: cached tokens by holder
-        self._read_by_salt: dict[str, ExpectedPrefix | None] = {}  # by salt
+        self._prefill_by_salt: dict[str, ExpectedPrefix | None] = {}  # by salt
 
     def clear_lookups(self) -> None:
         """Clear cached lookups before another attempt, as the caches may have changed."""
         self._coverage_by_salt.clear()
-        self._read_by_salt.clear()
+        self._prefill_by_salt.clear()
 
-    def prompt_for(self, server: Server) -> PrefillEstimate:
-        """Return the prompt as a load on the server: its tokens, and those cached there and elsewhere."""
+    def prefill_estimate(self, server: Server) -> PrefillEstimate:
+        """Return the prefill estimate at the server: the prompt tokens, and those cached there and elsewhere."""
         request = self.request
         if not request.parts or request.model is None:
             return PrefillEstimate(request.prompt_tokens, 0, 0)
         salt = self._salt(server)
         kept = self._coverage(salt)
-        reading = self._inflight_read(salt)
+        pending = self._pending_prefill(salt)
         own = kept.get(server.address, 0)
-        if reading is not None and reading.holder == server.address:
-            own = max(own, reading.tokens)
+        if pending is not None and pending.holder == server.address:
+            own = max(own, pending.tokens)
         elsewhere = max((tokens for holder, tokens in kept.items() if holder != server.address), default=0)
         return PrefillEstimate(
-            request.prompt_tokens, own, elsewhere, reading.tokens if reading is not None else 0
+            request.prompt_tokens, own, elsewhere, pending.tokens if pending is not None else 0
         )
 
     def cache_use(self, server: Server) -> CacheUse | None:
@@ -108,14 +108,16 @@
             self._coverage_by_salt[salt] = known
         return known
 
-    def _inflight_read(self, salt: str) -> ExpectedPrefix | None:
-        """Return the prefill of this prompt's parts that is in flight for an earlier request of this sidecar."""
-        if salt not in self._read_by_salt:
+    def _pending_prefill(self, salt: str) -> ExpectedPrefix | None:
+        """Return the pending prefill of this prompt's parts for an earlier request of this sidecar."""
+        if salt not in self._prefill_by_salt:
             reads = self.plane.pending_prefills
-            self._read_by_salt[salt] = reads.expected(salt, self.request.model, self.request.parts, clock())
-        return self._read_by_salt[salt]
+            self._prefill_by_salt[salt] = reads.expected(
+                salt, self.request.model, self.request.parts, clock()
+            )
+        return self._prefill_by_salt[salt]
 
-    def begin_prompt_read(self, server: Server) -> None:
+    def begin_prefill(self, server: Server) -> None:
         """Record that the server starts to prefill shared parts that are cached nowhere yet."""
         request = self.request
         if request.model is None or not request.parts:
@@ -124,7 +126,7 @@
         if max(self._coverage(salt).values(), default=0) < shared_tokens(request.parts):
             self.plane.pending_prefills.begin(salt, request.model, request.parts, server.address, clock())
 
-    def end_prompt_read(self, server: Server, salt: str) -> None:
+    def end_prefill(self, server: Server, salt: str) -> None:
         """Record that the parts are cached at the server, or that the attempt has failed."""
         request = self.request
         if request.model is not None and request.parts:
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -86,7 +86,7 @@
 ServerScript = bytes | Callable[[ServerExchange], None]
 
 
-def named(answer: bytes, attempt_id: bytes) -> bytes:
+def with_attempt_id(answer: bytes, attempt_id: bytes) -> bytes:
     """Add the request's id to the response's head, as servers echo it, unless there is one already."""
     head, _, _ = answer.partition(b"\r\n\r\n")
     if not answer.startswith(b"HTTP/") or b"x-iristrack-attempt-id" in head.lower():
@@ -135,7 +135,7 @@
                 answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
                 exchange = ServerExchange(self, sock, message)
                 if isinstance(answer, bytes):
-                    exchange.send(named(answer, exchange.id))
+                    exchange.send(with_attempt_id(answer, exchange.id))
                 else:
                     answer(exchange)
         except OSError:
@@ -204,7 +204,7 @@
             received.message = self.reader.feed(data)
         return received
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.sock.close()
 
 
@@ -235,10 +235,10 @@
             ListedServer(name, service, server.address, "zone", True, 8, ((MODEL, revision),))
         )
         apply_server_list(self.plane, self.entries)
-        self.known(name).others_inflight = len(self.entries) - 1
+        self.listed_server(name).others_inflight = len(self.entries) - 1
         return server
 
-    def known(self, name: str) -> Server:
+    def listed_server(self, name: str) -> Server:
         return self.plane.servers.servers[name]
 
     def configure(self, document: dict[str, Any]) -> None:
@@ -247,32 +247,32 @@
     def run(self, *calls: Callable[[], object]) -> list[Any]:
         """Run the calls as tasks until all have ended; return their results."""
         results: list[Any] = [None] * len(calls)
-        left = set(range(len(calls)))
+        unfinished = set(range(len(calls)))
 
         def run_call(number: int) -> None:
             try:
                 results[number] = calls[number]()
             finally:
-                left.discard(number)
-                if not left:
+                unfinished.discard(number)
+                if not unfinished:
                     self.scheduler.stop()
 
         for number in range(len(calls)):
             self.scheduler.spawn(f"call {number}", run_call, number)
-        self._turn()
-        assert not left, f"{len(left)} calls did not end"
+        self._run_loop()
+        assert not unfinished, f"{len(unfinished)} calls did not end"
         return results
 
-    def turn_until(self, holds: Callable[[], object]) -> None:
-        """Run the event loop until `holds` returns true."""
+    def run_until(self, condition: Callable[[], object]) -> None:
+        """Run the event loop until `condition` returns true."""
 
-        def look() -> None:
-            while not holds():
+        def poll() -> None:
+            while not condition():
                 yield_turn(self.scheduler)
 
-        self.run(look)
+        self.run(poll)
 
-    def _turn(self) -> None:
+    def _run_loop(self) -> None:
         self.scheduler._stopped = False
         guard = self.scheduler.call_at(clock() + TEST_TIMEOUT_NS, self.scheduler.stop)
         self.scheduler.run()
@@ -286,7 +286,7 @@
             client = Client(self)
             client.send(request)
             received = client.receive()
-            client.leave()
+            client.disconnect()
             return received
 
         (received,) = self.run(call)
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: kept, bounded, timed out and ended."""
+"""Client connections: keep-alive, limits, timeouts and closing."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     ServerExchange,
     client_request,
     event,
-    named,
     stream,
+    with_attempt_id,
     yield_turn,
 )
 
@@ -23,11 +23,11 @@
 
 
 def echo(exchange: ServerExchange) -> None:
-    exchange.send(named(http.response(200, exchange.id, SEAL_LINE), exchange.id))
+    exchange.send(with_attempt_id(http.response(200, exchange.id, SEAL_LINE), exchange.id))
 
 
-def talk(harness: Harness, *sent: bytes) -> list[Received]:
-    """What comes back for each of these on one connection."""
+def send_all_and_receive(harness: Harness, *sent: bytes) -> list[Received]:
+    """Send each request on one connection and return the responses."""
 
     def call() -> list[Received]:
         client = Client(harness)
@@ -42,13 +42,15 @@
 
 def test_a_connection_is_kept_from_request_to_request(harness: Harness) -> None:
     server = harness.serve(echo)
-    bodies = [r.body for r in talk(harness, *(client_request("unsafe", f"a{n}") for n in range(5)))]
+    bodies = [
+        r.body for r in send_all_and_receive(harness, *(client_request("unsafe", f"a{n}") for n in range(5)))
+    ]
     assert bodies == [b"a0", b"a1", b"a2", b"a3", b"a4"]
     assert server.opened == 1
 
 
 @pytest.mark.parametrize("prefix", ["safe", "stream"])
-def test_a_connection_ends_where_the_client_wants_it(harness: Harness, prefix: str) -> None:
+def test_connection_close_from_the_client_is_honoured(harness: Harness, prefix: str) -> None:
     harness.serve(stream(1, 2) if prefix == "stream" else echo)
 
     def call() -> tuple[Received, Received]:
@@ -61,8 +63,8 @@
     assert (answer.status, rest.end, rest.raw) == (200, "closed", b"")
 
 
-def older(prefix: str) -> bytes:
-    """The request of a client that knows no chunks."""
+def http_1_0_request(prefix: str) -> bytes:
+    """Return a request of an HTTP/1.0 client, which does not support chunked encoding."""
     return client_request(prefix, lines=b"Connection: keep-alive\r\n").replace(
         b" HTTP/1.1\r\n", b" HTTP/1.0\r\n"
     )
@@ -78,25 +80,23 @@
 
 
 @pytest.mark.parametrize("prefix", ["safe", "stream"])
-def test_a_client_that_knows_no_chunks_gets_none_and_the_end_of_the_connection(
-    harness: Harness, prefix: str
-) -> None:
+def test_an_http_1_0_client_gets_an_unchunked_body_ended_by_close(harness: Harness, prefix: str) -> None:
     harness.serve(stream(1, 2) if prefix == "stream" else echo)
-    answer = ask_and_read_to_the_end(harness, older(prefix))
+    answer = ask_and_read_to_the_end(harness, http_1_0_request(prefix))
     assert answer.raw.startswith(b"HTTP/1.1 200 OK\r\n")
     assert b"chunked" not in answer.raw and b"Connection: close\r\n" in answer.raw
     assert answer.raw.endswith(b"\r\n\r\n" + (event(1) + event(2) if prefix == "stream" else b"a1"))
 
 
-def test_a_stream_without_chunks_that_breaks_off_is_reset(harness: Harness) -> None:
+def test_an_unchunked_stream_that_breaks_off_is_reset(harness: Harness) -> None:
     harness.serve(lambda exchange: (exchange.send(stream(1, 3)[:-30]), exchange.reset()))
-    answer = ask_and_read_to_the_end(harness, older("stream"))
+    answer = ask_and_read_to_the_end(harness, http_1_0_request("stream"))
     assert (answer.end, answer.complete) == ("reset", False)
 
 
-def test_a_rejected_request_leaves_the_connection_as_it_is(harness: Harness) -> None:
+def test_a_rejected_request_keeps_the_connection_open(harness: Harness) -> None:
     harness.serve(echo)
-    answers = talk(harness, client_request("nowhere"), client_request("safe", "a2"))
+    answers = send_all_and_receive(harness, client_request("nowhere"), client_request("safe", "a2"))
     assert [answer.status for answer in answers] == [404, 200]
 
 
@@ -121,7 +121,7 @@
         (client_request("safe").removesuffix(b"\r\n") + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
     ],
 )
-def test_bytes_that_are_no_request_are_answered_and_the_connection_ends(harness, data, status) -> None:
+def test_a_malformed_request_gets_an_error_and_a_close(harness, data, status) -> None:
     server = harness.serve(echo)
 
     def call() -> tuple[Received, Received]:
@@ -135,7 +135,7 @@
     assert server.requests == []
 
 
-def test_a_body_is_waited_for_where_the_client_asks_first(harness: Harness) -> None:
+def test_expect_100_continue_is_answered_before_the_body(harness: Harness) -> None:
     server = harness.serve(echo)
 
     def call() -> Received:
@@ -155,40 +155,40 @@
 
 
 @pytest.mark.parametrize("data", [b"GET /sa", client_request("safe")[:-2]])
-def test_half_a_head_is_answered_when_its_time_is_over(harness: Harness, data: bytes) -> None:
+def test_an_incomplete_head_times_out_with_408(harness: Harness, data: bytes) -> None:
     harness.listener.header_timeout_ns = 20 * NS_PER_MS
-    (answer,) = talk(harness, data)
+    (answer,) = send_all_and_receive(harness, data)
     assert (answer.status, answer.header(b"connection")) == (408, b"close")
 
 
-def test_half_a_body_is_answered_when_its_time_is_over(harness: Harness, monkeypatch) -> None:
+def test_an_incomplete_body_times_out_with_408(harness: Harness, monkeypatch) -> None:
     monkeypatch.setattr(clients, "BODY_READ_TIMEOUT_NS", 20 * NS_PER_MS)
-    (answer,) = talk(harness, client_request("unsafe", body=b"body")[:-2])
+    (answer,) = send_all_and_receive(harness, client_request("unsafe", body=b"body")[:-2])
     assert answer.status == 408
 
 
-def test_an_idle_connection_ends_without_a_word(harness: Harness) -> None:
+def test_an_idle_connection_is_closed_without_a_response(harness: Harness) -> None:
     harness.serve(echo)
     harness.listener.idle_timeout_ns = 20 * NS_PER_MS
-    answer, rest = talk(harness, client_request("safe"), b"")
+    answer, rest = send_all_and_receive(harness, client_request("safe"), b"")
     assert answer.status == 200
     assert (rest.raw, rest.end) == (b"", "closed")
 
 
-def test_connections_are_bounded_and_the_next_one_waits_for_a_place(harness: Harness) -> None:
+def test_connections_over_the_limit_wait_to_be_accepted(harness: Harness) -> None:
     harness.serve(echo)
     harness.listener.max_connections = 2
-    order = []
+    released = []
 
-    def holder() -> None:
+    def hold_connection() -> None:
         client = Client(harness)
         client.send(client_request("safe", "held"))
         client.receive()
-        while not order:
+        while not released:
             yield_turn(harness.scheduler)
-        client.leave()
+        client.disconnect()
 
-    def waiter() -> Received:
+    def wait_for_slot() -> Received:
         while len(harness.listener.connections) < 2:
             yield_turn(harness.scheduler)
         client = Client(harness)
@@ -197,19 +197,19 @@
         while harness.scheduler.turns < begun + 50:
             yield_turn(harness.scheduler)
             assert len(harness.listener.connections) == 2
-        order.append("released")
+        released.append("released")
         return client.receive()
 
-    _, _, answer = harness.run(holder, holder, waiter)
+    _, _, answer = harness.run(hold_connection, hold_connection, wait_for_slot)
     assert answer.body == b"waited"
 
 
-def test_ending_lets_answers_under_way_come_whole_and_ends_idle_connections(harness: Harness) -> None:
-    going = []
+def test_shutdown_closes_idle_connections_and_completes_responses(harness: Harness) -> None:
+    resumed = []
 
     def answer(exchange: ServerExchange) -> None:
-        exchange.send(named(stream(1, 1)[: -len(http.LAST_CHUNK)], exchange.id))
-        while not going:
+        exchange.send(with_attempt_id(stream(1, 1)[: -len(http.LAST_CHUNK)], exchange.id))
+        while not resumed:
             yield_turn(exchange.server.scheduler)
         exchange.send(http.chunk(event(2)) + http.LAST_CHUNK)
 
@@ -227,7 +227,7 @@
         harness.listener.close_idle()
         idle_end = idle.receive()
         assert not ended
-        going.append(True)
+        resumed.append(True)
         rest = busy.receive()
         return idle_end, begun, rest
 
@@ -235,12 +235,12 @@
     assert (idle_end.raw, idle_end.end) == (b"", "closed")
     assert not begun.complete
     assert (rest.complete, rest.end) == (True, "open")
-    harness.turn_until(lambda: ended)
+    harness.run_until(lambda: ended)
     assert not harness.listener.connections
 
 
-def test_a_draining_plane_says_that_the_connection_ends(harness: Harness) -> None:
+def test_a_draining_data_plane_sends_connection_close(harness: Harness) -> None:
     harness.serve(echo)
     harness.plane.draining = True
-    (answer,) = talk(harness, client_request("safe"))
+    (answer,) = send_all_and_receive(harness, client_request("safe"))
     assert (answer.status, answer.header(b"connection")) == (200, b"close")
--- a/tests/dataplane/test_connection_machine.py
+++ b/tests/dataplane/test_connection_machine.py
@@ -1,4 +1,4 @@
-"""Any series of late, doubled, unnamed and cut answers: none goes to another caller, nothing unsafe runs twice."""
+"""Random sequences of faulty responses: none reaches another client, and no unsafe request runs twice."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
     make_harness,
 )
 
-SERVERS = 3
-STRANGER = b"for somebody else"
+SERVER_COUNT = 3
+FOREIGN_BODY = b"for somebody else"
 
 
-def named(attempt_id: bytes, body: bytes | None = None) -> bytes:
+def response_to(attempt_id: bytes, body: bytes | None = None) -> bytes:
     lines = SEAL_LINE + b"X-Iristrack-Attempt-Id: %b\r\n" % attempt_id
     return http.response(200, attempt_id if body is None else body, lines)
 
 
 class ModelServers:
-    """Answers each request as the script says next, soundly when it says nothing more."""
+    """Respond to each request as scripted, and normally once the script has ended."""
 
     def __init__(self) -> None:
         self.script: list[str] = []
         self.runs: Counter[bytes] = Counter()
-        self.carried: dict[object, list[bytes]] = {}  # by connection: the ids of its requests so far
+        self.ids_by_connection: dict[object, list[bytes]] = {}  # ids of earlier requests, by connection
 
     def answer(self, exchange: ServerExchange) -> None:
-        behaviour = self.script.pop(0) if self.script else "sound"
-        earlier = self.carried.setdefault(exchange.sock, [])
-        if behaviour == "turned away":
+        behaviour = self.script.pop(0) if self.script else "normal"
+        earlier = self.ids_by_connection.setdefault(exchange.sock, [])
+        if behaviour == "rejected":
             lines = NOT_EXECUTED + b"X-Iristrack-Attempt-Id: %b\r\n" % exchange.id
             exchange.send(http.response(503, b"full", lines))
         else:
@@ -47,53 +47,53 @@
             getattr(self, f"_{behaviour}")(exchange, earlier)
         earlier.append(exchange.id)
 
-    def _sound(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
-        exchange.send(named(exchange.id))
+    def _normal(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(response_to(exchange.id))
 
-    def _doubled(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
-        exchange.send(named(exchange.id) * 2)
+    def _duplicated(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(response_to(exchange.id) * 2)
 
-    def _followed(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
-        exchange.send(named(exchange.id))
-        exchange.send(http.response(200, STRANGER, SEAL_LINE))
+    def _unrequested(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(response_to(exchange.id))
+        exchange.send(http.response(200, FOREIGN_BODY, SEAL_LINE))
 
     def _late(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
-        """An answer to the connection's request before comes where this one's is due."""
-        late = named(earlier[-1]) if earlier else b""
-        exchange.send(late + named(exchange.id))
+        """Send a late response to the connection's previous request before this one's."""
+        late = response_to(earlier[-1]) if earlier else b""
+        exchange.send(late + response_to(exchange.id))
 
-    def _unnamed(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
-        """Without a name it is this request's, or where there was another before, nobody knows whose."""
-        body = STRANGER if earlier else exchange.id
+    def _without_id(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        """Send a response without an id; on a reused connection it cannot be attributed to a request."""
+        body = FOREIGN_BODY if earlier else exchange.id
         exchange.send(http.response(200, body, SEAL_LINE))
 
-    def _misnamed(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
-        exchange.send(named(b"never-asked", STRANGER) + named(exchange.id))
+    def _wrong_id(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(response_to(b"never-asked", FOREIGN_BODY) + response_to(exchange.id))
 
-    def _cut(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
-        exchange.send(named(exchange.id)[:-2])
+    def _truncated(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+        exchange.send(response_to(exchange.id)[:-2])
         exchange.close()
 
     def _reset(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
         exchange.reset()
 
-    def _spoilt(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
+    def _malformed(self, exchange: ServerExchange, earlier: list[bytes]) -> None:
         exchange.send(b"HTTP/1.1 maybe\r\n\r\n")
 
 
 BEHAVIOURS = st.lists(
     st.sampled_from(
         [
-            "sound",
-            "doubled",
-            "followed",
+            "normal",
+            "duplicated",
+            "unrequested",
             "late",
-            "unnamed",
-            "misnamed",
-            "cut",
+            "without_id",
+            "wrong_id",
+            "truncated",
             "reset",
-            "spoilt",
-            "turned away",
+            "malformed",
+            "rejected",
         ]
     ),
     min_size=1,
@@ -102,22 +102,22 @@
 
 
 class Connections(RuleBasedStateMachine):
-    """Clients on kept and new connections, in front of servers that answer as they like."""
+    """Clients on kept and new connections, and servers with random response behaviours."""
 
     def __init__(self) -> None:
         super().__init__()
         self.harness = make_harness()
         self.servers = ModelServers()
-        for _ in range(SERVERS):
+        for _ in range(SERVER_COUNT):
             self.harness.serve(self.servers.answer)
-        self.asked = 0
+        self.request_count = 0
         self.unsafe: set[bytes] = set()
         self.kept: Client | None = None
 
     @rule(prefix=st.sampled_from(["safe", "unsafe"]), behaviours=BEHAVIOURS, keep=st.booleans())
     def ask(self, prefix: str, behaviours: list[str], keep: bool) -> None:
-        self.asked += 1
-        attempt_id = f"a{self.asked}"
+        self.request_count += 1
+        attempt_id = f"a{self.request_count}"
         if prefix == "unsafe":
             self.unsafe.add(attempt_id.encode())
         self.servers.script = behaviours
@@ -139,8 +139,8 @@
         return received
 
     @rule()
-    def forgive(self) -> None:
-        """Time passes: servers that failed are asked again."""
+    def end_backoff(self) -> None:
+        """Let the time pass after which failed servers are used again."""
         for server in self.harness.plane.servers.servers.values():
             server.avoid_until = 0
 
--- a/tests/dataplane/test_control_link.py
+++ b/tests/dataplane/test_control_link.py
@@ -1,4 +1,4 @@
-"""What the core's updates change in a data plane, and what it tells of its own loads."""
+"""How a data plane applies the core's updates, and how it reports its own loads."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from tests.controlplane.peers import Peer
 from tests.dataplane.harness import MODEL, Harness, document
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class Linked:
@@ -62,7 +62,7 @@
     return Linked(harness)
 
 
-def meet(linked: Linked, zone: str) -> Peer:
+def connect_member(linked: Linked, zone: str) -> Peer:
     peer = Peer()
     linked.link._on_message(peer, Hello("core", "controlplane", "p", zone, "r", "a:1"))
     return peer
@@ -72,7 +72,7 @@
     return [message for message in peer.take() if isinstance(message, Subscribe)]
 
 
-def test_an_older_configuration_never_takes_the_place_of_a_newer_one(linked: Linked) -> None:
+def test_an_older_configuration_never_replaces_a_newer_one(linked: Linked) -> None:
     revisions = []
     for sequence, revision in ((2, 20), (1, 10), (3, 30), (3, 31), (2, 20), (4, 40)):
         linked.configure(sequence, revision)
@@ -80,7 +80,7 @@
     assert revisions == [20, 20, 30, 30, 30, 40]
 
 
-def test_values_that_cannot_be_read_change_nothing(linked: Linked) -> None:
+def test_malformed_values_change_nothing(linked: Linked) -> None:
     linked.configure(1, 10)
     active = linked.plane.active
     names = (
@@ -96,7 +96,7 @@
     assert linked.plane.active is active
 
 
-def test_named_weights_only_rise_and_remember_when_they_were_heard_of_first(linked: Linked) -> None:
+def test_named_revisions_only_rise_and_keep_their_first_time(linked: Linked) -> None:
     linked.update(topics.VERSIONS, 1, VersionsValue(1, (ModelRevision("m", 2),)))
     heard = linked.plane.named_weights.superseded_at("m", 1)
     linked.update(topics.VERSIONS, 2, VersionsValue(2, (ModelRevision("m", 2), ModelRevision("n", 1))))
@@ -108,8 +108,8 @@
     assert (linked.plane.named_weights.newest("m"), linked.plane.named_weights.newest("n")) == (2, 4)
 
 
-def test_a_revision_counts_from_its_naming_however_late_it_is_heard_of(linked: Linked) -> None:
-    """A process that was away, or began anew, hears of the newest revision alone, and late."""
+def test_a_revision_ages_from_its_naming_even_if_learned_late(linked: Linked) -> None:
+    """A disconnected or restarted process learns only of the newest revision, and late."""
     plane = linked.plane
     bound_ms = int(plane.settings.rule_bounds.version_ms)
     linked.update(topics.VERSIONS, 5, VersionsValue(5, (ModelRevision("m", 3),)))
@@ -123,11 +123,9 @@
     assert plane.required_revision("m", clock()) == 3
 
 
-def test_servers_that_take_weights_are_left_alone_until_told_otherwise(
-    harness: Harness, linked: Linked
-) -> None:
+def test_servers_that_load_weights_are_unusable_until_reported_done(harness: Harness, linked: Linked) -> None:
     harness.serve(b""), harness.serve(b"")
-    first, second = harness.known("i-0"), harness.known("i-1")
+    first, second = harness.listed_server("i-0"), harness.listed_server("i-1")
     linked.busy(1, "i-0", preparing=("i-1",))
     assert not first.usable(clock())
     assert second.usable(clock())
@@ -137,38 +135,38 @@
     assert first.revisions == {MODEL: 2}
     assert not second.usable(clock())
     assert not second.preparing
-    linked.busy(1, "i-0")  # late
+    linked.busy(1, "i-0")  # arrives late, with an old sequence
     assert first.usable(clock())
 
 
-def test_the_list_that_the_core_hands_on_is_followed(harness: Harness, linked: Linked) -> None:
+def test_the_server_list_from_the_core_is_applied(harness: Harness, linked: Linked) -> None:
     harness.serve(b""), harness.serve(b"")
     linked.update(topics.SERVERS, 1, to_message(harness.entries[1:]))
     assert [s.instance_id for s in linked.plane.servers.of_service("pool")] == ["i-1"]
 
 
-def test_kept_prompts_are_told_by_the_hub_alone(linked: Linked) -> None:
-    """A former hub went on telling them, to one who asked another member and dropped what it told."""
-    far = meet(linked, "elsewhere")
-    assert KeptSubscribe(own_only=False) in far.take()
-    near = meet(linked, "zone")
-    assert KeptSubscribe(own_only=False) in near.take()
-    assert KeptSubscribe(own_only=False, ends=True) in far.take()
-    near.closed = True
-    meet(linked, "zone")
-    assert near.take() == []
+def test_only_the_hub_is_subscribed_to_for_kept_prompts(linked: Linked) -> None:
+    """A former hub must be unsubscribed from, or it goes on sending kept prompts that this sidecar discards."""
+    remote = connect_member(linked, "elsewhere")
+    assert KeptSubscribe(own_only=False) in remote.take()
+    local = connect_member(linked, "zone")
+    assert KeptSubscribe(own_only=False) in local.take()
+    assert KeptSubscribe(own_only=False, ends=True) in remote.take()
+    local.closed = True
+    connect_member(linked, "zone")
+    assert local.take() == []
 
 
 def test_the_hub_is_a_member_of_the_zone_and_pushes(linked: Linked) -> None:
-    far = meet(linked, "elsewhere")
-    assert linked.link.hub() is far
-    assert subscriptions(far) == [Subscribe((), push=True)]
-    near = meet(linked, "zone")
-    assert linked.link.hub() is near
-    assert subscriptions(far) == [Subscribe((), push=False, catch_up=False)]
-    assert subscriptions(near) == [Subscribe((), push=True)]
-    near.closed = True
-    other = meet(linked, "zone")
+    remote = connect_member(linked, "elsewhere")
+    assert linked.link.hub() is remote
+    assert subscriptions(remote) == [Subscribe((), push=True)]
+    local = connect_member(linked, "zone")
+    assert linked.link.hub() is local
+    assert subscriptions(remote) == [Subscribe((), push=False, catch_up=False)]
+    assert subscriptions(local) == [Subscribe((), push=True)]
+    local.closed = True
+    other = connect_member(linked, "zone")
     assert linked.link.hub() is other
     assert subscriptions(other) == [Subscribe((), push=True)]
 
@@ -176,43 +174,43 @@
 # ---- loads
 
 
-def test_what_is_under_way_is_told_when_it_changes(harness: Harness, linked: Linked, monkeypatch) -> None:
-    monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: MS)
-    hub = meet(linked, "zone")
+def test_changed_loads_are_reported_to_the_hub(harness: Harness, linked: Linked, monkeypatch) -> None:
+    monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: NS_PER_MS)
+    hub = connect_member(linked, "zone")
     hub.take()
     harness.serve(b"")
-    server = harness.known("i-0")
+    server = harness.listed_server("i-0")
     server.began(3)
-    harness.turn_until(lambda: hub.sent)
+    harness.run_until(lambda: hub.sent)
     assert hub.take() == [ServerLoads("n", 1, (ServerLoad("i-0", 1, 3),))]
     server.prefill_finished(3)
     server.ended()
-    harness.turn_until(lambda: hub.sent)
+    harness.run_until(lambda: hub.sent)
     assert hub.take() == [ServerLoads("n", 2, (ServerLoad("i-0", 0, 0),), partial=True)]
 
 
-def test_what_others_have_under_way_lapses_when_the_core_falls_silent(harness, linked, monkeypatch) -> None:
-    monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: MS)
+def test_loads_of_other_sidecars_expire_when_the_core_is_silent(harness, linked, monkeypatch) -> None:
+    monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: NS_PER_MS)
     harness.serve(b"")
-    server = harness.known("i-0")
-    hub = meet(linked, "zone")
+    server = harness.listed_server("i-0")
+    hub = connect_member(linked, "zone")
     linked.link._on_message(hub, ServerLoads("core", 1, (ServerLoad("i-0", 4, 7),)))
     assert (server.others_inflight, server.others_pending_chunks) == (4, 7)
     linked.link._on_message(hub, ServerLoads("core", 2, ()))
     assert server.load == 0
     linked.link._on_message(hub, ServerLoads("core", 3, (ServerLoad("i-0", 4, 7),)))
-    monkeypatch.setattr(load_reports, "EXPIRY_NS", 5 * MS)
-    harness.turn_until(lambda: server.load == 0)
+    monkeypatch.setattr(load_reports, "EXPIRY_NS", 5 * NS_PER_MS)
+    harness.run_until(lambda: server.load == 0)
 
 
-def test_the_own_share_is_taken_off_the_sum_that_the_hub_tells(harness, linked, monkeypatch) -> None:
-    monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: MS)
-    hub = meet(linked, "zone")
+def test_own_loads_are_subtracted_from_the_hubs_total(harness, linked, monkeypatch) -> None:
+    monkeypatch.setattr(load_reports, "report_interval", lambda sidecars: NS_PER_MS)
+    hub = connect_member(linked, "zone")
     hub.take()
     harness.serve(b""), harness.serve(b"")
-    first, second = harness.known("i-0"), harness.known("i-1")
+    first, second = harness.listed_server("i-0"), harness.listed_server("i-1")
     first.began(3)
-    harness.turn_until(lambda: hub.sent)
+    harness.run_until(lambda: hub.sent)
     total = (ServerLoad("i-0", 5, 7, answered=2, failed=1), ServerLoad("i-1", 1, 1))
     linked.link._on_message(hub, ServerLoads("core", 1, total))
     assert (first.others_inflight, first.others_pending_chunks) == (4, 4)
@@ -222,52 +220,57 @@
     assert (first.others_inflight, second.others_inflight) == (4, 0)
 
 
-def test_only_the_hub_is_believed(harness, linked) -> None:
+def test_load_totals_are_accepted_only_from_the_hub(harness, linked) -> None:
     harness.serve(b"")
-    stranger = meet(linked, "elsewhere")
-    meet(linked, "zone")
-    linked.link._on_message(stranger, ServerLoads("core", 1, (ServerLoad("i-0", 4, 7),)))
-    assert harness.known("i-0").load == 0
+    other_member = connect_member(linked, "elsewhere")
+    connect_member(linked, "zone")
+    linked.link._on_message(other_member, ServerLoads("core", 1, (ServerLoad("i-0", 4, 7),)))
+    assert harness.listed_server("i-0").load == 0
 
 
-# ---- amendments and the lease of keys
+# ---- amendments and the key lease
 
 
-def amended(sequence: int, revision: int, path: str) -> ConfigurationAmendment:
+def amendment(sequence: int, revision: int, path: str) -> ConfigurationAmendment:
     row = document()["route_table"][0] | {"label": path, "path_prefix": path}
     body = json.dumps({"revision": revision, "upsert": {"route_table": [row]}}).encode()
     return ConfigurationAmendment(sequence, body)
 
 
-def serves(linked: Linked, path: str) -> bool:
+def has_route(linked: Linked, path: str) -> bool:
     host = linked.plane.active.configuration.routes[0].hostname
     return linked.plane.active.routes.match(host, path) is not None
 
 
-def test_an_amendment_takes_the_place_of_the_one_before_and_of_no_other(linked: Linked) -> None:
-    linked.link._on_message(linked.core, amended(2, 5, "/early/"))
+def test_an_amendment_applies_only_to_its_direct_predecessor(linked: Linked) -> None:
+    linked.link._on_message(linked.core, amendment(2, 5, "/early/"))
     linked.configure(2, 20)
-    linked.link._on_message(linked.core, amended(2, 19, "/old/"))
-    linked.link._on_message(linked.core, amended(4, 40, "/gap/"))
+    linked.link._on_message(linked.core, amendment(2, 19, "/old/"))
+    linked.link._on_message(linked.core, amendment(4, 40, "/gap/"))
     assert linked.plane.active.configuration.revision == 20
-    linked.link._on_message(linked.core, amended(3, 30, "/next/"))
+    linked.link._on_message(linked.core, amendment(3, 30, "/next/"))
     assert linked.plane.active.configuration.revision == 30
-    assert [serves(linked, p) for p in ("/next/", "/old/", "/gap/", "/early/")] == [True, False, False, False]
+    assert [has_route(linked, p) for p in ("/next/", "/old/", "/gap/", "/early/")] == [
+        True,
+        False,
+        False,
+        False,
+    ]
     assert Version(topics.CONFIGURATION, 3) in linked.link.topics.versions()
     linked.configure(4, 41)
     assert linked.plane.active.configuration.revision == 41
 
 
-def test_after_a_configuration_that_cannot_be_read_no_amendment_is_built_on_the_one_before(
+def test_no_amendment_applies_after_a_malformed_configuration(
     linked: Linked,
 ) -> None:
     linked.configure(2, 20)
     linked.link._on_message(linked.core, Update(topics.CONFIGURATION, 3, b"no frame"))
-    linked.link._on_message(linked.core, amended(4, 40, "/next/"))
+    linked.link._on_message(linked.core, amendment(4, 40, "/next/"))
     assert linked.plane.active.configuration.revision == 20
 
 
-def leased(harness: Harness) -> Linked:
+def linked_with_lease(harness: Harness) -> Linked:
     bounds = replace(harness.plane.settings.rule_bounds, revoke_global=True, revoke_ms=5_000)
     harness.plane.settings = replace(harness.plane.settings, rule_bounds=bounds)
     return Linked(harness)
@@ -277,9 +280,9 @@
     return [message for message in peer.take() if isinstance(message, KeyLeaseRequest)]
 
 
-def test_the_lease_of_keys_is_asked_of_the_hub_and_then_of_all(harness: Harness) -> None:
-    linked = leased(harness)
-    first, second = meet(linked, harness.plane.settings.zone), meet(linked, "elsewhere")
+def test_the_key_lease_is_requested_from_the_hub_and_then_from_all(harness: Harness) -> None:
+    linked = linked_with_lease(harness)
+    first, second = connect_member(linked, harness.plane.settings.zone), connect_member(linked, "elsewhere")
     (request,) = lease_requests(first)
     assert lease_requests(second) == []
     linked.link._request_key_lease()
@@ -291,27 +294,27 @@
     assert harness.plane.key_lease.is_valid(clock())
 
 
-def test_no_lease_is_asked_for_where_none_is_needed(linked: Linked) -> None:
-    peer = meet(linked, linked.plane.settings.zone)
+def test_no_key_lease_is_requested_where_none_is_needed(linked: Linked) -> None:
+    peer = connect_member(linked, linked.plane.settings.zone)
     linked.link._request_key_lease()
     assert lease_requests(peer) == []
     assert linked.plane.key_lease.is_valid(clock())
 
 
-def test_a_member_that_has_forgotten_when_weights_were_named_is_told_with_the_next_heartbeats(
+def test_ages_that_a_member_lacks_are_sent_with_the_next_heartbeats(
     linked: Linked,
 ) -> None:
-    """An answer to each of its heartbeats would be answered in turn, without a pause, by one that never learns."""
-    link, member = linked.link, meet(linked, "z")
+    """A separate reply to each heartbeat would start an endless exchange with a member that never learns."""
+    link, member = linked.link, connect_member(linked, "z")
     assert link._heartbeat().named == ()
     linked.update(topics.VERSIONS, 1, VersionsValue(1, (ModelRevision(MODEL, 2),)))
-    named_ago = NamedAge(MODEL, 2, 5_000)
-    link._on_message(member, Heartbeat("core", "p", 1, named=(named_ago,)))
+    known_age = NamedAge(MODEL, 2, 5_000)
+    link._on_message(member, Heartbeat("core", "p", 1, named=(known_age,)))
     assert link._heartbeat().named == ()  # the member knows it
     member.take()
     for _ in range(3):
         link._on_message(member, Heartbeat("core", "p", 1))
     assert not any(isinstance(message, Heartbeat) for message in member.take())
-    (told,) = link._heartbeat().named
-    assert (told.model, told.revision) == (MODEL, 2)
-    assert told.age_ms >= named_ago.age_ms
+    (age,) = link._heartbeat().named
+    assert (age.model, age.revision) == (MODEL, 2)
+    assert age.age_ms >= known_age.age_ms
--- a/tests/dataplane/test_event_loop_sharing.py
+++ b/tests/dataplane/test_event_loop_sharing.py
@@ -1,6 +1,7 @@
-"""One server's answer never keeps an edge machine from its other work.
+"""One server's response must not block the event loop.
 
-The incident FAULT: bytes that ended no event were read and searched again and again, and no other task ran meanwhile.
+Guards against a past incident, named FAULT: bytes without an event terminator were read and searched again and again,
+and no other task ran meanwhile.
 """
 
 from __future__ import annotations
@@ -18,34 +19,34 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Iristrack-Server-Seal: s1\r\n\r\n"
 PIECE = b"data: no end\n"
-MOST_READS = 20_000
-SHORT_NS = 50_000_000
-LATE_NS = 500_000_000  # after its deadline an answer has to be over
+MAX_READS = 20_000
+DEADLINE_NS = 50_000_000
+MAX_LATENESS_NS = 500_000_000  # how long after its deadline a response must have ended
 
 
 class EndlessSocket:
-    """A connection on which there is always something to read."""
+    """A connection that always has bytes to read."""
 
     def __init__(self) -> None:
-        self.near, self.far = socket.socketpair()
-        self.far.send(b"x")  # never read: the descriptor stays readable
+        self.local, self.remote = socket.socketpair()
+        self.remote.send(b"x")  # never read: the descriptor stays readable
         self.reads = 0
 
     def fileno(self) -> int:
-        return self.near.fileno()
+        return self.local.fileno()
 
     def send(self, data: bytes) -> int:
         return len(data)
 
-    def recv(self, most: int, flags: int = 0) -> bytes:
+    def recv(self, max_bytes: int, flags: int = 0) -> bytes:
         self.reads += 1
-        if self.reads > MOST_READS:
+        if self.reads > MAX_READS:
             raise ConnectionResetError
         return HEAD if self.reads == 1 else PIECE
 
     def close(self) -> None:
-        self.near.close()
-        self.far.close()
+        self.local.close()
+        self.remote.close()
 
 
 def attempt_at(scheduler: Scheduler, sock: EndlessSocket, deadline: int) -> Attempt:
@@ -70,7 +71,7 @@
     endless.close()
 
 
-def test_other_tasks_run_between_two_reads_of_an_answer_that_never_pauses(sock: EndlessSocket) -> None:
+def test_other_tasks_run_between_two_reads_of_an_endless_response(sock: EndlessSocket) -> None:
     scheduler = Scheduler()
     attempt = attempt_at(scheduler, sock, clock() + TEST_TIMEOUT_NS)
     reads: list[int] = []
@@ -88,27 +89,27 @@
     assert reads[-1] <= 2 * len(reads)
 
 
-def test_an_answer_that_never_pauses_is_over_at_its_deadline(sock: EndlessSocket) -> None:
+def test_an_endless_response_ends_at_its_deadline(sock: EndlessSocket) -> None:
     scheduler = Scheduler()
-    deadline = clock() + SHORT_NS
+    deadline = clock() + DEADLINE_NS
     attempt = attempt_at(scheduler, sock, deadline)
-    ends: list[tuple[type, int]] = []
+    outcomes: list[tuple[type, int]] = []
 
     def call() -> None:
         try:
             read_all(attempt)
         except (DeadlinePassed, AttemptFailed) as end:
-            ends.append((type(end), clock() - deadline))
+            outcomes.append((type(end), clock() - deadline))
         scheduler.stop()
 
     scheduler.spawn("answer", call)
     scheduler.run()
-    ((end, late_ns),) = ends
+    ((end, late_ns),) = outcomes
     assert end is DeadlinePassed
-    assert 0 <= late_ns < LATE_NS
+    assert 0 <= late_ns < MAX_LATENESS_NS
 
 
-def test_bytes_that_end_no_event_are_searched_once() -> None:
+def test_bytes_without_an_event_terminator_are_searched_once() -> None:
     splitter = EventSplitter()
     pieces = [PIECE * 50] * 400
     for piece in pieces:
@@ -119,7 +120,7 @@
 
 
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
-def test_an_end_that_comes_in_single_bytes_is_found(end: bytes) -> None:
+def test_a_terminator_that_arrives_byte_by_byte_is_found(end: bytes) -> None:
     splitter = EventSplitter()
     found = [event for at in range(len(end)) for event in splitter.feed(end[at : at + 1])]
     assert [event.data for event in found] == [end]
--- a/tests/dataplane/test_key_lease.py
+++ b/tests/dataplane/test_key_lease.py
@@ -1,4 +1,4 @@
-"""Requests that need a key while the lease of keys holds, after it, and across its end."""
+"""Requests that need an API key while the key lease is valid, after it has expired, and across its expiry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.dataplane.harness import SEAL_LINE, Harness, ServerExchange, document
 
 KEYED = [{"label": "north", "api_keys": ["k-north"]}]
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
 
 
 def client_request(prefix: str, key: str | None = "k-north") -> bytes:
@@ -34,9 +34,7 @@
 
 
 @pytest.mark.parametrize("key", ["k-north", "unknown", None])
-def test_without_a_lease_no_key_is_judged_and_the_client_is_told_when_to_come_back(
-    keyed: Harness, key: str | None
-) -> None:
+def test_without_a_lease_every_key_gets_503_with_retry_after(keyed: Harness, key: str | None) -> None:
     server = keyed.serve(http.response(200, b"answer", SEAL_LINE))
     received = keyed.ask(client_request("safe", key))
     assert received.status == 503
@@ -44,31 +42,31 @@
     assert server.requests == []
 
 
-def test_public_routes_go_on_without_a_lease(keyed: Harness) -> None:
+def test_public_routes_need_no_lease(keyed: Harness) -> None:
     keyed.serve(http.response(200, b"answer", SEAL_LINE))
     assert keyed.ask(client_request("public", None)).status == 200
 
 
-def test_with_a_lease_keys_are_judged(keyed: Harness) -> None:
+def test_with_a_lease_keys_are_checked(keyed: Harness) -> None:
     keyed.serve(http.response(200, b"answer", SEAL_LINE))
     grant(keyed)
     assert keyed.ask(client_request("safe")).status == 200
     assert keyed.ask(client_request("safe", "unknown")).status == 401
 
 
-def test_a_lease_that_ended_while_the_process_stood_still_is_no_lease(keyed: Harness) -> None:
+def test_a_lease_that_expired_while_the_process_was_frozen_is_invalid(keyed: Harness) -> None:
     server = keyed.serve(http.response(200, b"answer", SEAL_LINE))
-    grant(keyed, age_ns=60 * S)
+    grant(keyed, age_ns=60 * NS_PER_S)
     assert keyed.ask(client_request("safe")).status == 503
     assert server.requests == []
 
 
-def test_it_is_looked_at_again_before_the_request_goes_to_a_further_server(keyed: Harness) -> None:
-    def lapse(exchange: ServerExchange) -> None:
+def test_the_lease_is_checked_again_before_a_retry(keyed: Harness) -> None:
+    def drop_lease(exchange: ServerExchange) -> None:
         keyed.plane.key_lease = KeyLease(60_000)
-        exchange.close()  # it may have run; the request is safe, and would be sent again
+        exchange.close()  # the request may have run; as it is safe, it would be retried
 
-    first = keyed.serve(lapse)
+    first = keyed.serve(drop_lease)
     second = keyed.serve(http.response(200, b"answer", SEAL_LINE))
     grant(keyed)
     assert keyed.ask(client_request("safe")).status == 502
@@ -76,8 +74,8 @@
     assert second.requests == []
 
 
-def test_it_is_looked_at_once_the_connection_stands(keyed: Harness) -> None:
-    """The wait for a connection takes time, at the end of which the lease may be over."""
+def test_the_lease_is_checked_after_the_connection_is_established(keyed: Harness) -> None:
+    """The lease may expire during the wait for a connection."""
     server = keyed.serve(http.response(200, b"answer", SEAL_LINE))
     grant(keyed)
     take = keyed.plane.links.take
@@ -90,4 +88,4 @@
     keyed.plane.links.take = take_late
     assert keyed.ask(client_request("safe")).status == 503
     assert server.requests == []
-    assert keyed.known("i-0").inflight == 0
+    assert keyed.listed_server("i-0").inflight == 0
--- a/tests/dataplane/test_late_reasons.py
+++ b/tests/dataplane/test_late_reasons.py
@@ -1,4 +1,4 @@
-"""The reason that is told of a late answer."""
+"""The reason reported for a late response."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from iristrack.dataplane.lateness import LateCounts, LateReason, RequestTiming
 from tests.dataplane.harness import document, route
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 ROUTE = parse_configuration(
     json.dumps(
         document(route_table=[route("s", "streaming", target_latency_ms=500, gap_aim_ms=100)])
@@ -18,31 +18,31 @@
 ).routes[0]
 
 
-def lateness(began=0, sent=1, own=0, others=0, fetches=False, words=(100,)) -> RequestTiming:
+def request_timing(began=0, sent=1, own=0, others=0, fetches=False, output_times=(100,)) -> RequestTiming:
     """Times in ms from the arrival."""
-    told = RequestTiming(0, began * MS)
-    told.record_sent(sent * MS, own, others, fetches)
-    for word in words:
-        told.record_output(word * MS)
-    return told
+    timing = RequestTiming(0, began * NS_PER_MS)
+    timing.record_sent(sent * NS_PER_MS, own, others, fetches)
+    for at in output_times:
+        timing.record_output(at * NS_PER_MS)
+    return timing
 
 
 @pytest.mark.parametrize(
-    ("told", "reason"),
+    ("timing", "reason"),
     [
-        (lateness(words=(499, 590)), None),
-        (lateness(words=()), None),
-        (lateness(words=(499, 700, 710)), LateReason.PAUSE),
-        (lateness(began=300, sent=301, own=9, words=(600,)), LateReason.START),
-        (lateness(began=10, sent=300, own=9, words=(600,)), LateReason.RETRIES),
-        (lateness(own=9, others=8, words=(600,)), LateReason.READ),
-        (lateness(own=8, others=9, fetches=True, words=(600,)), LateReason.WAIT),
-        (lateness(fetches=True, words=(600,)), LateReason.MOVE),
-        (lateness(words=(600,)), LateReason.WAIT),
+        (request_timing(output_times=(499, 590)), None),
+        (request_timing(output_times=()), None),
+        (request_timing(output_times=(499, 700, 710)), LateReason.PAUSE),
+        (request_timing(began=300, sent=301, own=9, output_times=(600,)), LateReason.START),
+        (request_timing(began=10, sent=300, own=9, output_times=(600,)), LateReason.RETRIES),
+        (request_timing(own=9, others=8, output_times=(600,)), LateReason.READ),
+        (request_timing(own=8, others=9, fetches=True, output_times=(600,)), LateReason.WAIT),
+        (request_timing(fetches=True, output_times=(600,)), LateReason.MOVE),
+        (request_timing(output_times=(600,)), LateReason.WAIT),
     ],
 )
-def test_the_reason_is_what_took_the_time(told: RequestTiming, reason: LateReason | None) -> None:
-    assert told.reason(ROUTE) is reason
+def test_the_reason_is_the_phase_that_took_the_time(timing: RequestTiming, reason: LateReason | None) -> None:
+    assert timing.reason(ROUTE) is reason
 
 
 def test_late_answers_are_counted_by_reason() -> None:
--- a/tests/dataplane/test_older_weights.py
+++ b/tests/dataplane/test_older_weights.py
@@ -1,4 +1,4 @@
-"""Requests at servers on older weights: how long they are sent, when they are taken back, what is told of them."""
+"""Requests at servers on older weights: until when they are sent, when they are cancelled, what is logged."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 PROMPT = b"X-Iristrack-Model: %b\r\n" % MODEL.encode()
 
 
-class Lines:
+class RecordingLog:
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
 
@@ -23,8 +23,8 @@
         self.lines.append((event, fields))
 
 
-def test_a_line_tells_revision_and_age_at_most_once_a_second() -> None:
-    named, log = NamedWeights(), Lines()
+def test_log_lines_give_revision_and_age_at_most_once_a_second() -> None:
+    named, log = NamedWeights(), RecordingLog()
     older = OlderWeights(named, log)
     older.record_begun(BegunRequest("i-1", "m", 1, 0, NS_PER_MS))
     named.learn("m", 2, 0)
@@ -41,7 +41,7 @@
     assert older.metrics()["older_weights_most_sent_ms"] == 60
 
 
-def test_a_request_at_a_server_on_older_weights_is_counted_as_it_begins(harness: Harness) -> None:
+def test_a_request_that_begins_on_older_weights_is_counted(harness: Harness) -> None:
     harness.serve(stream(1, 2), revision=1)
     assert harness.ask(client_request("stream", lines=PROMPT)).status == 200
     harness.plane.named_weights.learn(MODEL, 2, clock())
@@ -49,8 +49,8 @@
     assert harness.plane.older_weights.begun_count == 1
 
 
-def bound(harness: Harness, version_ms: float) -> None:
-    """Let nothing begin on older weights so long after newer ones were named."""
+def set_bound(harness: Harness, version_ms: float) -> None:
+    """Set the time after which no request may begin on superseded weights."""
     bounds = replace(harness.plane.settings.rule_bounds, version_ms=version_ms)
     harness.plane.settings = replace(harness.plane.settings, rule_bounds=bounds)
 
@@ -60,7 +60,7 @@
 
 
 def test_each_revision_has_an_allowance_of_its_own(harness: Harness) -> None:
-    bound(harness, 60_000)
+    set_bound(harness, 60_000)
     now = clock()
     allowed_ms = 60_000 * SEND_RATIO
     name_revision(harness, 2, allowed_ms + 1)
@@ -70,25 +70,25 @@
 
 
 @pytest.mark.parametrize(("prefix", "status"), [("resumable", 200), ("stream", 502)])
-def test_a_request_that_waits_at_a_server_on_older_weights_is_taken_back(
+def test_a_request_queued_at_a_server_on_older_weights_is_cancelled(
     harness: Harness, prefix: str, status: int
 ) -> None:
-    """One that may run once is not sent again: the server may have begun it as its connection was closed."""
+    """A non-idempotent request is not retried: the server may have begun it when its connection was closed."""
     slow = harness.serve(ServerExchange.wait_until_closed, revision=1)
     current = harness.serve(stream(1, 2), revision=2)
-    bound(harness, 2_000)
+    set_bound(harness, 2_000)
     name_revision(harness, 2, 1_400)
     began = clock()
     assert harness.ask(client_request(prefix, lines=PROMPT)).status == status
     assert clock() - began < (2_000 * BEGIN_RATIO - 1_400 + 1_000) * NS_PER_MS
     assert len(slow.requests) == 1
     assert len(current.requests) == (1 if status == 200 else 0)
-    harness.turn_until(lambda: slow.ended == 1)
-    assert harness.known("i-0").failures == 0  # it is slow, not gone
+    harness.run_until(lambda: slow.ended == 1)
+    assert harness.listed_server("i-0").failures == 0  # a slow server does not count as failed
 
 
-def test_a_request_that_waits_as_a_revision_is_named_is_taken_back_as_well(harness: Harness) -> None:
-    bound(harness, 1_500)
+def test_a_request_queued_when_a_revision_is_named_is_cancelled(harness: Harness) -> None:
+    set_bound(harness, 1_500)
 
     def wait_as_it_is_named(exchange: ServerExchange) -> None:
         name_revision(harness, 2, 0)
@@ -100,22 +100,22 @@
     assert len(slow.requests) == 1
 
 
-def test_an_answer_that_has_begun_in_time_goes_on(harness: Harness) -> None:
-    bound(harness, 1_500)
+def test_a_response_that_began_in_time_continues(harness: Harness) -> None:
+    set_bound(harness, 1_500)
 
-    def go_on_after_the_bound(exchange: ServerExchange) -> None:
+    def continue_after_the_bound(exchange: ServerExchange) -> None:
         whole = stream(1, 40)
         exchange.send(whole[:400])
         name_revision(harness, 2, 10_000)
         exchange.send_bytewise(whole[400:])
 
-    slow = harness.serve(go_on_after_the_bound, revision=1)
+    slow = harness.serve(continue_after_the_bound, revision=1)
     assert harness.ask(client_request("stream", lines=PROMPT)).status == 200
     assert len(slow.requests) == 1
 
 
-def test_the_weights_are_looked_at_once_the_connection_stands(harness: Harness) -> None:
-    """The wait for a connection takes time, at the end of which the allowance may be over."""
+def test_the_weights_are_checked_after_the_connection_is_established(harness: Harness) -> None:
+    """The allowance may end during the wait for a connection."""
     older = harness.serve(stream(1, 2), revision=1)
     current = harness.serve(stream(1, 2), revision=2)
     take = harness.plane.links.take
--- a/tests/dataplane/test_single_flight.py
+++ b/tests/dataplane/test_single_flight.py
@@ -1,4 +1,4 @@
-"""Shared parts that one server is reading already are not read by another at the same time."""
+"""Shared prompt parts in prefill at one server are not prefilled at another at the same time."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     yield_turn,
 )
 
-DONE = http.response(200, b"done", SEAL_LINE)
+RESPONSE = http.response(200, b"done", SEAL_LINE)
 LINES = b"X-Iristrack-Model: %b\r\nX-Iristrack-Token-Count: %d,9\r\nX-Iristrack-Prompt-Prefix: %b\r\n"
-REQUESTS = 3
+REQUEST_COUNT = 3
 
 
 def prompt(own: str, shared: str = "aa:4000,bb:2000") -> bytes:
@@ -23,17 +23,17 @@
 
 
 def ask_together(harness: Harness, lines: list[bytes]) -> None:
-    """Send requests one after the other, none of which is answered before all have arrived at a server."""
+    """Send requests one after the other; each gets its response after all have arrived at a server."""
 
     def arrived() -> int:
         return sum(len(server.requests) for server in harness.servers.values())
 
-    def hold(exchange: ServerExchange) -> None:
+    def respond_after_all_arrived(exchange: ServerExchange) -> None:
         while arrived() < len(lines):
             yield_turn(harness.scheduler)
-        exchange.send(DONE)
+        exchange.send(RESPONSE)
 
-    for server in (harness.serve(hold), harness.serve(hold)):
+    for server in (harness.serve(respond_after_all_arrived), harness.serve(respond_after_all_arrived)):
         assert server.requests == []
 
     def call(number: int) -> None:
@@ -42,7 +42,7 @@
         client = Client(harness)
         client.send(client_request("safe", f"a{number}", lines[number]))
         assert client.receive().status == 200
-        client.leave()
+        client.disconnect()
 
     harness.run(*[lambda number=number: call(number) for number in range(len(lines))])
 
@@ -51,18 +51,18 @@
     return sorted(len(server.requests) for server in harness.servers.values())
 
 
-def test_requests_with_the_same_shared_parts_go_along_with_the_one_that_reads_them(harness: Harness) -> None:
-    ask_together(harness, [prompt(f"c{number}") for number in range(REQUESTS)])
-    assert arrivals(harness) == [0, REQUESTS]
+def test_requests_with_the_same_shared_parts_go_to_the_same_server(harness: Harness) -> None:
+    ask_together(harness, [prompt(f"c{number}") for number in range(REQUEST_COUNT)])
+    assert arrivals(harness) == [0, REQUEST_COUNT]
     assert len(harness.plane.pending_prefills) == 0
 
 
-def test_requests_with_other_parts_do_not_wait_there(harness: Harness) -> None:
+def test_requests_with_other_parts_go_to_other_servers(harness: Harness) -> None:
     ask_together(harness, [prompt(f"c{number}", f"d{number}:4000,e{number}:2000") for number in range(2)])
     assert arrivals(harness) == [1, 1]
 
 
-def test_a_reader_that_fails_is_none_any_more(harness: Harness) -> None:
+def test_a_failed_attempt_ends_its_pending_prefill(harness: Harness) -> None:
     harness.serve(lambda exchange: exchange.reset())
     harness.ask(client_request("once", "a1", prompt("c1")))
     assert len(harness.plane.pending_prefills) == 0
--- a/tests/dataplane/test_startup_gate.py
+++ b/tests/dataplane/test_startup_gate.py
@@ -1,4 +1,4 @@
-"""Requests that come before the process can serve: they wait for it a moment, once."""
+"""Requests that arrive before the process can serve wait a limited time."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     return http.request(b"POST", b"/%b/x" % prefix.encode(), lines, b"question")
 
 
-def empty(harness: Harness) -> Harness:
-    """A process that has just started: no configuration and no list of servers."""
+def without_state(harness: Harness) -> Harness:
+    """Reset the state to that of a process that has just started: no configuration and no server list."""
     harness.plane.active = None
     harness.plane.servers.has_list = False
     return harness
 
 
-def ask_and_then(harness: Harness, *learn) -> Received:
-    """One request, and what the process learns once the request waits; each step in turns of its own."""
+def ask_and_learn(harness: Harness, *learn) -> Received:
+    """Send one request and, once it waits, apply each step of `learn` in a turn of its own."""
 
     def ask() -> Received:
         client = Client(harness)
         client.send(client_request())
         received = client.receive()
-        client.leave()
+        client.disconnect()
         return received
 
-    def learn_all() -> None:
+    def apply_steps() -> None:
         while not harness.plane.startup_gate._waiting:
             yield_turn(harness.scheduler)
         for step in learn:
@@ -43,15 +43,15 @@
             harness.plane.startup_gate.open_if_ready()
             yield_turn(harness.scheduler)
 
-    received, _ = harness.run(ask, learn_all)
+    received, _ = harness.run(ask, apply_steps)
     return received
 
 
 def test_a_request_waits_for_the_configuration_the_servers_and_the_lease(harness: Harness) -> None:
-    empty(harness).plane.key_lease = KeyLease(60_000)
+    without_state(harness).plane.key_lease = KeyLease(60_000)
     lease = harness.plane.key_lease
     lease.set_applied_sequence(1)
-    received = ask_and_then(
+    received = ask_and_learn(
         harness,
         lambda: harness.configure(document()),
         lambda: harness.serve(http.response(200, b"answer", SEAL_LINE)),
@@ -61,30 +61,30 @@
     assert harness.plane.startup_gate.open
 
 
-def test_it_waits_for_a_part_of_its_time_and_is_then_told_when_to_come_back(harness: Harness) -> None:
-    received = empty(harness).ask(client_request(wait_ms=30))
+def test_after_the_wait_limit_a_request_gets_503_with_retry_after(harness: Harness) -> None:
+    received = without_state(harness).ask(client_request(wait_ms=30))
     assert received.status == 503
     assert float(received.header(b"retry-after")) > 0
 
 
-def test_a_client_that_leaves_meanwhile_is_not_served(harness: Harness) -> None:
-    def leave() -> None:
+def test_a_client_that_disconnects_while_waiting_is_not_served(harness: Harness) -> None:
+    def disconnect() -> None:
         client = Client(harness)
         client.send(client_request())
         while not harness.plane.startup_gate._waiting:
             yield_turn(harness.scheduler)
-        client.leave()
+        client.disconnect()
         while harness.plane.startup_gate._waiting:
             yield_turn(harness.scheduler)
 
-    empty(harness).run(leave)
+    without_state(harness).run(disconnect)
     server = harness.serve(http.response(200, b"answer", SEAL_LINE))
     harness.configure(document())
-    harness.turn_until(lambda: not harness.listener.connections)
+    harness.run_until(lambda: not harness.listener.connections)
     assert server.requests == []
 
 
-def test_once_it_could_serve_nothing_waits_any_more(
+def test_after_the_process_could_serve_once_nothing_waits(
     harness: Harness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness.serve(http.response(200, b"answer", SEAL_LINE))
@@ -94,9 +94,9 @@
     assert harness.ask(client_request()).status == 503
 
 
-def test_a_process_that_cannot_serve_for_long_refuses_at_once(harness: Harness) -> None:
-    """As beside a core that is away: nothing is held back then until its time is nearly over."""
-    empty(harness).plane.startup_gate._opens_by = clock()
+def test_after_the_startup_limit_requests_are_rejected_at_once(harness: Harness) -> None:
+    """While the core is unreachable, requests must not be held until their time is nearly over."""
+    without_state(harness).plane.startup_gate._opens_by = clock()
     received = harness.ask(client_request(wait_ms=60_000))
     assert received.status == 503
     assert float(received.header(b"retry-after")) > 0
