--- a/iristrack/dataplane/client_response.py
+++ b/iristrack/dataplane/client_response.py
@@ -11,21 +11,21 @@
 class ClientResponse:
     """A response that is sent at once, or begun, written in pieces and ended. An aborted one never looks complete."""
 
-    def __init__(self, client: ClientConnection, keep: bool, version: int) -> None:
-        """`keep`: whether the connection is kept after the response; `version`: the client's HTTP/1 minor version."""
+    def __init__(self, client: ClientConnection, keep_alive: bool, minor_version: int) -> None:
+        """`keep_alive`: whether the connection is kept open afterwards; `minor_version`: of the client's HTTP/1."""
         self.client = client
-        self.chunked = version > HTTP_1_0_MINOR_VERSION
-        self.keep = keep and self.chunked
+        self.chunked = minor_version > HTTP_1_0_MINOR_VERSION
+        self.keep_alive = keep_alive and self.chunked
         self.begun = False
 
     def send(self, status: int, body: bytes, lines: bytes) -> None:
         """Send a complete response."""
-        self.client.write(http.response(status, body, lines, close=not self.keep))
+        self.client.write(http.response(status, body, lines, close=not self.keep_alive))
 
     def begin(self, head: http.Head) -> None:
         """Forward a server's head; the body follows in pieces."""
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
-        closing = b"" if self.keep else b"Connection: close\r\n"
+        closing = b"" if self.keep_alive else b"Connection: close\r\n"
         reason = http.REASONS.get(head.status, b"OK")
         self.client.write(
             b"HTTP/1.1 %d %b\r\n%b%b%b\r\n"
--- a/iristrack/dataplane/clients.py
+++ b/iristrack/dataplane/clients.py
@@ -216,10 +216,10 @@
                     return
                 client.watch()
                 try:
-                    keep = self.exchange(client, message, clock())
+                    keep_alive = self.exchange(client, message, clock())
                 finally:
                     client.unwatch()
-                if not keep or client.reset_on_close:
+                if not keep_alive or client.reset_on_close:
                     return
         except http.Malformed as error:
             client.write(http.response(error.status, str(error).encode() + b"\n", b"", close=True))
--- a/iristrack/dataplane/discovery.py
+++ b/iristrack/dataplane/discovery.py
@@ -16,7 +16,7 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
 POLL_INTERVAL_NS = NS_PER_S
-CORE_SILENCE_NS = 4 * NS_PER_S  # the core sends the list every two seconds
+CORE_SILENCE_NS = 4 * NS_PER_S  # then the platform is polled; the core sends the list every 2 s
 FETCH_TIMEOUT_NS = 800 * NS_PER_MS
 FORGET_LINKS_AFTER_NS = 5 * NS_PER_S
 
--- a/iristrack/dataplane/exchange.py
+++ b/iristrack/dataplane/exchange.py
@@ -44,13 +44,13 @@
     """Choose a server, forward its response, and retry on another server where that is allowed."""
 
     def __init__(
-        self, plane: PlaneState, client: ClientConnection, request: ClientRequest, keep: bool
+        self, plane: PlaneState, client: ClientConnection, request: ClientRequest, keep_alive: bool
     ) -> None:
-        """`keep`: whether the client's connection is kept open after the response."""
+        """`keep_alive`: whether the client's connection is kept open after the response."""
         self.plane = plane
         self.client = client
         self.request = request
-        self.response = ClientResponse(client, keep, request.version)
+        self.response = ClientResponse(client, keep_alive, request.minor_version)
         self.tried_servers: list[Server] = []  # servers to which the request was sent
         self.excluded_instances: set[str] = set()
         self.may_have_run = False
@@ -306,13 +306,13 @@
         head = attempt.head
         self.timing.record_output(clock())
         attempt.finish()
-        if self.response.begun:  # an event stream was resumed on this server, which answered with an error
+        if self.response.begun:  # an event stream was resumed on this server, which returned an error
             self.response.abort()
             return
         self.response.send(head.status, bytes(body), head.passed_on(frozenset()))
 
     def _stream_body(self, attempt: Attempt, first: bytes, pieces) -> None:
-        if self.response.begun:  # an event stream was resumed on this server, which answered with an error
+        if self.response.begun:  # an event stream was resumed on this server, which returned an error
             self.response.abort()
             return
         self.response.begin(attempt.head)
@@ -374,7 +374,7 @@
     plane: PlaneState, client: ClientConnection, message: http.Message, arrived_at: int
 ) -> bool:
     """Respond to one request; return whether the client's connection is kept open."""
-    keep = message.head.keeps_alive and not plane.draining and not client.listener.closing
+    keep_alive = message.head.keeps_alive and not plane.draining and not client.listener.closing
     if not plane.startup_gate.open:
         _wait_for_startup(plane, client, message)
     if plane.active is None:
@@ -384,12 +384,12 @@
         request = read_request(plane.active, message, arrived_at, plane.key_lease.is_valid(clock()))
     except Rejected as rejection:
         # After a malformed request the bytes that follow cannot be trusted.
-        keep = keep and rejection.status != 400
+        keep_alive = keep_alive and rejection.status != 400
         lines = RETRY_AFTER_LINE if rejection.status == 503 else b""
         client.write(
-            http.response(rejection.status, rejection.reason.encode() + b"\n", lines, close=not keep)
+            http.response(rejection.status, rejection.reason.encode() + b"\n", lines, close=not keep_alive)
         )
-        return keep
-    exchange = Exchange(plane, client, request, keep)
+        return keep_alive
+    exchange = Exchange(plane, client, request, keep_alive)
     exchange.run()
-    return exchange.response.keep and not client.reset_on_close and not client.disconnected
+    return exchange.response.keep_alive and not client.reset_on_close and not client.disconnected
--- a/iristrack/dataplane/lateness.py
+++ b/iristrack/dataplane/lateness.py
@@ -23,7 +23,7 @@
     RETRIES = "retries"  # earlier servers rejected it, broke off or did not respond
     PAUSE = "pause"  # the first event was in time, a later one was not
     READ = "read"  # its own prompt was most of what the server had to prefill
-    MOVE = "move"  # the server had little to prefill and fetched the prompt's parts
+    MOVE = "move"  # the server had nothing to prefill but fetched the prompt's parts
     WAIT = "wait"  # it was queued behind other requests at the server
 
 
--- a/iristrack/dataplane/load_reports.py
+++ b/iristrack/dataplane/load_reports.py
@@ -74,9 +74,9 @@
 
     def _update_server(self, server: Server) -> None:
         load = self._total.get(server.instance_id)
-        own = self._reported.get(server.instance_id)
-        if load is not None and own is not None:
-            load = subtract_loads(load, own)
+        own_load = self._reported.get(server.instance_id)
+        if load is not None and own_load is not None:
+            load = subtract_loads(load, own_load)
         server.others_inflight = 0 if load is None else load.requests
         server.others_pending_chunks = 0 if load is None else load.pieces
         server.others_outcomes = NO_OUTCOMES if load is None else Outcomes(load.answered, load.failed)
@@ -85,11 +85,11 @@
         now = self.plane.scheduler.now()
         if self._last_total_at and now - self._last_total_at > EXPIRY_NS:
             self._clear_total()
-        own = {load.instance: load for load in self._local_loads(now)}
+        local_loads = {load.instance: load for load in self._local_loads(now)}
         if now - self._outliers_checked_at >= OUTLIER_CHECK_INTERVAL_NS:
             self._outliers_checked_at = now
             self.plane.servers.update_ejections(now)
-        self._report(own, now)
+        self._report(local_loads, now)
         self.plane.scheduler.call_at(now + self._interval, self._tick)
 
     def _clear_total(self) -> None:
@@ -109,14 +109,14 @@
                     outcomes.failed,
                 )
 
-    def _report(self, own: dict[str, ServerLoad], now: int) -> None:
+    def _report(self, local_loads: dict[str, ServerLoad], now: int) -> None:
         hub = self.finder.hub()
         if hub is None:
             return
         if hub is not self._reported_hub:
             self._reported_hub = hub
             self._stream.force_full_report()
-        report = self._stream.next(own, 1, now)
+        report = self._stream.next(local_loads, 1, now)
         if report is not None:
-            self._reported = own
+            self._reported = local_loads
             hub.send(report)
--- a/iristrack/dataplane/program.py
+++ b/iristrack/dataplane/program.py
@@ -69,7 +69,7 @@
         self.plane.links.start()
         self.control_link = ControlLink(self.plane, ServerListFollower(self.plane), self.log)
         self.control_link.on_configuration = self._apply_limits
-        self.scheduler.call_at(clock() + METRICS_LOG_INTERVAL_NS, self._report)
+        self.scheduler.call_at(clock() + METRICS_LOG_INTERVAL_NS, self._log_metrics)
 
     def run(self, signals: socket.socket) -> None:
         """Serve until the shutdown after SIGTERM or SIGINT is complete."""
@@ -171,17 +171,17 @@
             "worst_turn_us": self.scheduler.worst_turn_ns // 1000,
         }
 
-    def _report(self) -> None:
+    def _log_metrics(self) -> None:
         self.log.info("figures", **self._metrics())
         self.scheduler.worst_turn_ns = 0
-        self.scheduler.call_at(clock() + METRICS_LOG_INTERVAL_NS, self._report)
+        self.scheduler.call_at(clock() + METRICS_LOG_INTERVAL_NS, self._log_metrics)
 
 
-def raise_descriptor_limit(most: int | None) -> None:
-    """Raise the soft limit of file descriptors to `most`, as far as the hard limit allows."""
+def raise_descriptor_limit(max_descriptors: int | None) -> None:
+    """Raise the soft limit of file descriptors to `max_descriptors`, as far as the hard limit allows."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if most is not None and soft != resource.RLIM_INFINITY and soft < most:
-        allowed = most if hard == resource.RLIM_INFINITY else min(most, hard)
+    if max_descriptors is not None and soft != resource.RLIM_INFINITY and soft < max_descriptors:
+        allowed = max_descriptors if hard == resource.RLIM_INFINITY else min(max_descriptors, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
 
 
--- a/iristrack/dataplane/prompt_parts.py
+++ b/iristrack/dataplane/prompt_parts.py
@@ -60,14 +60,14 @@
         if not request.parts or request.model is None:
             return PrefillEstimate(request.prompt_tokens, 0, 0)
         salt = self._salt(server)
-        kept = self._coverage(salt)
+        cached = self._coverage(salt)
         pending = self._pending_prefill(salt)
-        own = kept.get(server.address, 0)
+        own_tokens = cached.get(server.address, 0)
         if pending is not None and pending.holder == server.address:
-            own = max(own, pending.tokens)
-        elsewhere = max((tokens for holder, tokens in kept.items() if holder != server.address), default=0)
+            own_tokens = max(own_tokens, pending.tokens)
+        elsewhere = max((tokens for holder, tokens in cached.items() if holder != server.address), default=0)
         return PrefillEstimate(
-            request.prompt_tokens, own, elsewhere, pending.tokens if pending is not None else 0
+            request.prompt_tokens, own_tokens, elsewhere, pending.tokens if pending is not None else 0
         )
 
     def cache_use(self, server: Server) -> CacheUse | None:
@@ -81,14 +81,14 @@
         if not shared:
             return CacheUse(revision, salt, None, None)
         stores = self._stores()
-        kept = dict(self._coverage(salt))
-        own = kept.pop(server.address, 0)
-        source = max(kept, key=kept.__getitem__, default=None)
-        if source is not None and kept[source] < own + MIN_FETCH_TOKENS:
+        cached = dict(self._coverage(salt))
+        own_tokens = cached.pop(server.address, 0)
+        source = max(cached, key=cached.__getitem__, default=None)
+        if source is not None and cached[source] < own_tokens + MIN_FETCH_TOKENS:
             source = None
-        wanted = sum(part.tokens for part in shared)
-        saved = any(kept[store] >= wanted for store in stores)
-        save_to = None if saved else store_for_key(request.key, stores)
+        shared_token_count = sum(part.tokens for part in shared)
+        is_saved = any(cached[store] >= shared_token_count for store in stores)
+        save_to = None if is_saved else store_for_key(request.key, stores)
         return CacheUse(revision, salt, source, save_to)
 
     def _salt(self, server: Server) -> str:
@@ -99,20 +99,20 @@
 
     def _coverage(self, salt: str) -> dict[str, int]:
         """Return how many prompt tokens each server and store holds under the salt."""
-        known = self._coverage_by_salt.get(salt)
-        if known is None:
+        coverage = self._coverage_by_salt.get(salt)
+        if coverage is None:
             request = self.request
             servers = [server.address for server in self.plane.servers.of_service(self.service)]
             holders = [*servers, *self._stores()]
-            known = self.plane.index.coverage(salt, request.model, request.parts, holders)
-            self._coverage_by_salt[salt] = known
-        return known
+            coverage = self.plane.index.coverage(salt, request.model, request.parts, holders)
+            self._coverage_by_salt[salt] = coverage
+        return coverage
 
     def _pending_prefill(self, salt: str) -> ExpectedPrefix | None:
         """Return the pending prefill of this prompt's parts for an earlier request of this sidecar."""
         if salt not in self._prefill_by_salt:
-            reads = self.plane.pending_prefills
-            self._prefill_by_salt[salt] = reads.expected(
+            prefills = self.plane.pending_prefills
+            self._prefill_by_salt[salt] = prefills.expected(
                 salt, self.request.model, self.request.parts, clock()
             )
         return self._prefill_by_salt[salt]
--- a/iristrack/dataplane/requests.py
+++ b/iristrack/dataplane/requests.py
@@ -62,7 +62,7 @@
     last_event_id: int | None
     needs_key: bool  # it may be sent only while the key lease is valid
     keeps_alive: bool
-    version: int  # minor version of HTTP/1
+    minor_version: int  # of HTTP/1
 
     @property
     def streaming(self) -> bool:
@@ -132,7 +132,7 @@
         last_event_id=_last_event_id(fields),
         needs_key=needs_key,
         keeps_alive=head.keeps_alive,
-        version=head.version,
+        minor_version=head.version,
     )
 
 
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -274,9 +274,9 @@
 
     def _run_loop(self) -> None:
         self.scheduler._stopped = False
-        guard = self.scheduler.call_at(clock() + TEST_TIMEOUT_NS, self.scheduler.stop)
+        timeout = self.scheduler.call_at(clock() + TEST_TIMEOUT_NS, self.scheduler.stop)
         self.scheduler.run()
-        guard.cancel()
+        timeout.cancel()
         assert not self.failures, "\n".join(self.failures)
 
     def ask(self, request: bytes) -> Received:
--- a/tests/dataplane/test_clients.py
+++ b/tests/dataplane/test_clients.py
@@ -193,8 +193,8 @@
             yield_turn(harness.scheduler)
         client = Client(harness)
         client.send(client_request("safe", "waited"))
-        begun = harness.scheduler.turns
-        while harness.scheduler.turns < begun + 50:
+        first_turn = harness.scheduler.turns
+        while harness.scheduler.turns < first_turn + 50:
             yield_turn(harness.scheduler)
             assert len(harness.listener.connections) == 2
         released.append("released")
@@ -222,18 +222,18 @@
         idle.send(client_request("safe", "a1"))
         idle.receive()
         busy.send(client_request("stream", "a2"))
-        begun = busy.receive(until=event(1))
+        first_part = busy.receive(until=event(1))
         harness.listener.stop_accepting()
         harness.listener.close_idle()
         idle_end = idle.receive()
         assert not ended
         resumed.append(True)
         rest = busy.receive()
-        return idle_end, begun, rest
+        return idle_end, first_part, rest
 
-    ((idle_end, begun, rest),) = harness.run(call)
+    ((idle_end, first_part, rest),) = harness.run(call)
     assert (idle_end.raw, idle_end.end) == (b"", "closed")
-    assert not begun.complete
+    assert not first_part.complete
     assert (rest.complete, rest.end) == (True, "open")
     harness.run_until(lambda: ended)
     assert not harness.listener.connections
--- a/tests/dataplane/test_control_link.py
+++ b/tests/dataplane/test_control_link.py
@@ -98,11 +98,11 @@
 
 def test_named_revisions_only_rise_and_keep_their_first_time(linked: Linked) -> None:
     linked.update(topics.VERSIONS, 1, VersionsValue(1, (ModelRevision("m", 2),)))
-    heard = linked.plane.named_weights.superseded_at("m", 1)
+    named_at = linked.plane.named_weights.superseded_at("m", 1)
     linked.update(topics.VERSIONS, 2, VersionsValue(2, (ModelRevision("m", 2), ModelRevision("n", 1))))
     assert (linked.plane.named_weights.newest("m"), linked.plane.named_weights.superseded_at("m", 1)) == (
         2,
-        heard,
+        named_at,
     )
     linked.update(topics.VERSIONS, 3, VersionsValue(3, (ModelRevision("m", 1), ModelRevision("n", 4))))
     assert (linked.plane.named_weights.newest("m"), linked.plane.named_weights.newest("n")) == (2, 4)
--- a/tests/dataplane/test_late_reasons.py
+++ b/tests/dataplane/test_late_reasons.py
@@ -18,10 +18,12 @@
 ).routes[0]
 
 
-def request_timing(began=0, sent=1, own=0, others=0, fetches=False, output_times=(100,)) -> RequestTiming:
+def request_timing(
+    started=0, sent=1, own_chunks=0, others_load=0, fetches=False, output_times=(100,)
+) -> RequestTiming:
     """Times in ms from the arrival."""
-    timing = RequestTiming(0, began * NS_PER_MS)
-    timing.record_sent(sent * NS_PER_MS, own, others, fetches)
+    timing = RequestTiming(0, started * NS_PER_MS)
+    timing.record_sent(sent * NS_PER_MS, own_chunks, others_load, fetches)
     for at in output_times:
         timing.record_output(at * NS_PER_MS)
     return timing
@@ -33,10 +35,10 @@
         (request_timing(output_times=(499, 590)), None),
         (request_timing(output_times=()), None),
         (request_timing(output_times=(499, 700, 710)), LateReason.PAUSE),
-        (request_timing(began=300, sent=301, own=9, output_times=(600,)), LateReason.START),
-        (request_timing(began=10, sent=300, own=9, output_times=(600,)), LateReason.RETRIES),
-        (request_timing(own=9, others=8, output_times=(600,)), LateReason.READ),
-        (request_timing(own=8, others=9, fetches=True, output_times=(600,)), LateReason.WAIT),
+        (request_timing(started=300, sent=301, own_chunks=9, output_times=(600,)), LateReason.START),
+        (request_timing(started=10, sent=300, own_chunks=9, output_times=(600,)), LateReason.RETRIES),
+        (request_timing(own_chunks=9, others_load=8, output_times=(600,)), LateReason.READ),
+        (request_timing(own_chunks=8, others_load=9, fetches=True, output_times=(600,)), LateReason.WAIT),
         (request_timing(fetches=True, output_times=(600,)), LateReason.MOVE),
         (request_timing(output_times=(600,)), LateReason.WAIT),
     ],
--- a/tests/dataplane/test_older_weights.py
+++ b/tests/dataplane/test_older_weights.py
@@ -78,9 +78,9 @@
     current = harness.serve(stream(1, 2), revision=2)
     set_bound(harness, 2_000)
     name_revision(harness, 2, 1_400)
-    began = clock()
+    started_at = clock()
     assert harness.ask(client_request(prefix, lines=PROMPT)).status == status
-    assert clock() - began < (2_000 * BEGIN_RATIO - 1_400 + 1_000) * NS_PER_MS
+    assert clock() - started_at < (2_000 * BEGIN_RATIO - 1_400 + 1_000) * NS_PER_MS
     assert len(slow.requests) == 1
     assert len(current.requests) == (1 if status == 200 else 0)
     harness.run_until(lambda: slow.ended == 1)
@@ -104,10 +104,10 @@
     set_bound(harness, 1_500)
 
     def continue_after_the_bound(exchange: ServerExchange) -> None:
-        whole = stream(1, 40)
-        exchange.send(whole[:400])
+        full_stream = stream(1, 40)
+        exchange.send(full_stream[:400])
         name_revision(harness, 2, 10_000)
-        exchange.send_bytewise(whole[400:])
+        exchange.send_bytewise(full_stream[400:])
 
     slow = harness.serve(continue_after_the_bound, revision=1)
     assert harness.ask(client_request("stream", lines=PROMPT)).status == 200
--- a/tests/dataplane/test_request_headers.py
+++ b/tests/dataplane/test_request_headers.py
@@ -22,7 +22,7 @@
 
 NS_PER_MS = 1_000_000
 RESPONSE = http.response(200, b"sound", SEAL_LINE)
-FULL = http.response(503, b"full", NOT_EXECUTED)
+REJECTION = http.response(503, b"full", NOT_EXECUTED)
 STORE = "172.20.0.2:8165"
 PROMPT = b"X-Iristrack-Model: daka510000\r\nX-Iristrack-Token-Count: 3000,90\r\n"
 PARTS = b"X-Iristrack-Prompt-Prefix: aa:1500,bb:1000,cc:500\r\n"
@@ -205,12 +205,12 @@
         answered_at = clock() + 2 * NS_PER_MS  # the header counts whole milliseconds
         while clock() < answered_at:
             yield_turn(exchange.server.scheduler)
-        exchange.send(FULL)
+        exchange.send(REJECTION)
 
     first, second = harness.serve(respond_late), harness.serve(RESPONSE)
     harness.ask(client_request("unsafe"))
-    told = [int(server.header(b"x-iristrack-time-left-ms")) for server in (first, second)]
-    assert 0 < told[1] < told[0] <= 9000
+    times_left = [int(server.header(b"x-iristrack-time-left-ms")) for server in (first, second)]
+    assert 0 < times_left[1] < times_left[0] <= 9000
 
 
 def test_the_routes_timeout_bounds_the_time_left(harness: Harness) -> None:
@@ -220,24 +220,24 @@
 
 
 def test_each_attempt_names_the_expected_instance(harness: Harness) -> None:
-    servers = [harness.serve(FULL), harness.serve(RESPONSE)]
+    servers = [harness.serve(REJECTION), harness.serve(RESPONSE)]
     harness.ask(client_request("unsafe"))
     assert [server.header(b"x-iristrack-expect-instance") for server in servers] == [b"i-0", b"i-1"]
 
 
-@pytest.mark.parametrize(("priority", "told"), [(0, b"0"), (9, b"9"), (40, b"9"), (-3, b"0")])
-def test_the_priority_is_clamped(harness: Harness, priority: int, told: bytes) -> None:
+@pytest.mark.parametrize(("priority", "expected"), [(0, b"0"), (9, b"9"), (40, b"9"), (-3, b"0")])
+def test_the_priority_is_clamped(harness: Harness, priority: int, expected: bytes) -> None:
     harness.configure(document(tenants=[TENANTS[0] | {"priority": priority}]))
     server = harness.serve(RESPONSE)
     harness.ask(client_request("safe", lines=key_line("key-n")))
-    assert server.header(b"priority") == told
+    assert server.header(b"priority") == expected
 
 
 # ---- cached prompts
 
 
 def test_salt_and_version_match_the_chosen_server(harness: Harness) -> None:
-    first, second = harness.serve(FULL, revision=3), harness.serve(RESPONSE, revision=4)
+    first, second = harness.serve(REJECTION, revision=3), harness.serve(RESPONSE, revision=4)
     harness.ask(client_request("safe", lines=PROMPT + PARTS))
     assert (first.header(b"expect-version"), first.header(b"cache-salt")) == (b"3", salt(3))
     assert (second.header(b"expect-version"), second.header(b"cache-salt")) == (b"4", salt(4))
@@ -339,21 +339,21 @@
     assert seen == [(1, -(-3000 // PREFILL_CHUNK_TOKENS))]
 
 
-@pytest.mark.parametrize("told", [b"4243.99999999907", b"1.0000000000000000000001", b"9000.0"])
-def test_a_fractional_time_left_is_accepted(harness: Harness, told: bytes) -> None:
+@pytest.mark.parametrize("time_left", [b"4243.99999999907", b"1.0000000000000000000001", b"9000.0"])
+def test_a_fractional_time_left_is_accepted(harness: Harness, time_left: bytes) -> None:
     harness.serve(RESPONSE)
     request = client_request("safe").replace(
-        b"X-Iristrack-Time-Left-Ms: 9000", b"X-Iristrack-Time-Left-Ms: " + told
+        b"X-Iristrack-Time-Left-Ms: 9000", b"X-Iristrack-Time-Left-Ms: " + time_left
     )
     assert harness.ask(request).status in (200, 503, 504)  # depends on the time left, but is never 400
 
 
 @pytest.mark.parametrize(
-    ("tenant", "told"),
+    ("tenant", "expected"),
     [("North Hall", b"North Hall"), (" North", b"%20North"), ("50% off", b"50%25 off"), ("a\tb", b"a%09b")],
 )
-def test_a_tenant_label_keeps_its_inner_spaces(harness: Harness, tenant: str, told: bytes) -> None:
+def test_a_tenant_label_keeps_its_inner_spaces(harness: Harness, tenant: str, expected: bytes) -> None:
     harness.configure(document(tenants=[{"label": tenant, "api_keys": ["key-n"]}]))
     server = harness.serve(RESPONSE)
     harness.ask(client_request("safe", lines=key_line("key-n")))
-    assert server.header(b"x-iristrack-tenant") == told
+    assert server.header(b"x-iristrack-tenant") == expected
--- a/tests/dataplane/test_responses.py
+++ b/tests/dataplane/test_responses.py
@@ -189,10 +189,10 @@
         exchange.send(sent)
         getattr(exchange, end)()
 
-    broken, sound = harness.serve(answer), harness.serve(http.response(200, b"sound", SEAL_LINE))
+    broken, other = harness.serve(answer), harness.serve(http.response(200, b"sound", SEAL_LINE))
     unsafe = harness.ask(client_request("unsafe", "u1"))
     assert unsafe.status == 502
-    assert sound.requests == []
+    assert other.requests == []
     harness.listed_server("i-0").succeeded(0)  # otherwise the failed server would be avoided for a while
     assert harness.ask(client_request("safe", "s1")).body == b"sound"
     assert broken.attempt_ids == [b"u1", b"s1"]
--- a/tests/dataplane/test_retries.py
+++ b/tests/dataplane/test_retries.py
@@ -54,10 +54,10 @@
 @pytest.mark.parametrize("status", [429, 503, 421, 400])
 @pytest.mark.parametrize("prefix", PREFIXES)
 def test_a_rejected_request_is_retried_on_another_server(harness: Harness, prefix: str, status: int) -> None:
-    full = harness.serve(http.response(status, b"no", NOT_EXECUTED))
+    rejecting = harness.serve(http.response(status, b"no", NOT_EXECUTED))
     other = harness.serve(response_for(prefix))
     assert harness.ask(client_request(prefix)).status == 200
-    assert (len(full.requests), len(other.requests)) == (1, 1)
+    assert (len(rejecting.requests), len(other.requests)) == (1, 1)
 
 
 @pytest.mark.parametrize("prefix", PREFIXES)
--- a/tests/dataplane/test_streams.py
+++ b/tests/dataplane/test_streams.py
@@ -240,10 +240,10 @@
 
 
 def test_a_revision_announced_by_an_event_is_recorded(harness: Harness) -> None:
-    told = b"versions: 4\n" + event(2)
-    harness.serve(stream_head() + chunks(1, 1) + http.chunk(told) + http.LAST_CHUNK)
+    update_event = b"versions: 4\n" + event(2)
+    harness.serve(stream_head() + chunks(1, 1) + http.chunk(update_event) + http.LAST_CHUNK)
     answer = harness.ask(client_request("stream", lines=b"X-Iristrack-Model: daka510000\r\n"))
-    assert answer.body == event(1) + told
+    assert answer.body == event(1) + update_event
     assert harness.listed_server("i-0").revisions == {"daka510000": 4}
 
 
