--- a/iristrack/dataplane/prompt_parts.py
+++ b/iristrack/dataplane/prompt_parts.py
@@ -1,4 +1,4 @@
-"""What is kept of one request's prompt, where, and what the chosen server is told of it."""
+"""Where the parts of one request's prompt are cached, and the cache headers for the chosen server."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from iristrack.prefix_index.pending_prefills import ExpectedPrefix
 from iristrack.runtime.scheduler import clock
 
-LEAST_FETCH_TOKENS = 64  # fewer are read faster than they are moved
+MIN_FETCH_TOKENS = 64  # prefilling fewer tokens is faster than fetching them
 
 
 @dataclass(frozen=True, slots=True)
 class CacheUse:
-    """Where a request finds and leaves the parts of its prompt."""
+    """From where a request fetches cached prompt parts, and where it saves them."""
 
     revision: int
     salt: str
@@ -27,7 +27,7 @@
     save_to: str | None
 
     def header_lines(self) -> bytes:
-        """What the server is told."""
+        """Return the cache headers for the server."""
         lines = [b"Cache-Salt: %b\r\n" % header_text(self.salt)]
         if self.revision:
             lines.append(b"Expect-Version: %d\r\n" % self.revision)
@@ -39,39 +39,39 @@
 
 
 class PromptParts:
-    """One request's prompt at the servers and stores of its service."""
+    """Cache lookups for one request's prompt at the servers and stores of its service."""
 
     def __init__(self, plane: PlaneState, request: ClientRequest, service: str) -> None:
-        """Nothing is looked up yet."""
+        """Do no lookup yet."""
         self.plane = plane
         self.request = request
         self.service = service
-        self._covered: dict[str, dict[str, int]] = {}  # by salt, kept tokens by holder
-        self._expected: dict[str, ExpectedPrefix | None] = {}  # by salt
+        self._coverage_by_salt: dict[str, dict[str, int]] = {}  # by salt: cached tokens by holder
+        self._prefill_by_salt: dict[str, ExpectedPrefix | None] = {}  # by salt
 
-    def look_again(self) -> None:
-        """Another attempt begins: what is kept may have changed."""
-        self._covered.clear()
-        self._expected.clear()
+    def clear_lookups(self) -> None:
+        """Clear cached lookups before another attempt, as the caches may have changed."""
+        self._coverage_by_salt.clear()
+        self._prefill_by_salt.clear()
 
-    def at(self, server: Server) -> PrefillEstimate:
-        """What the server would have to do with the prompt."""
+    def prefill_estimate(self, server: Server) -> PrefillEstimate:
+        """Return the prefill estimate at the server: the prompt tokens, and those cached there and elsewhere."""
         request = self.request
         if not request.parts or request.model is None:
             return PrefillEstimate(request.prompt_tokens, 0, 0)
         salt = self._salt(server)
-        kept = self._coverage(salt)
-        reading = self._being_read(salt)
-        own = kept.get(server.address, 0)
-        if reading is not None and reading.holder == server.address:
-            own = max(own, reading.tokens)
-        elsewhere = max((tokens for holder, tokens in kept.items() if holder != server.address), default=0)
+        cached = self._coverage(salt)
+        pending = self._pending_prefill(salt)
+        own_tokens = cached.get(server.address, 0)
+        if pending is not None and pending.holder == server.address:
+            own_tokens = max(own_tokens, pending.tokens)
+        elsewhere = max((tokens for holder, tokens in cached.items() if holder != server.address), default=0)
         return PrefillEstimate(
-            request.prompt_tokens, own, elsewhere, reading.tokens if reading is not None else 0
+            request.prompt_tokens, own_tokens, elsewhere, pending.tokens if pending is not None else 0
         )
 
     def cache_use(self, server: Server) -> CacheUse | None:
-        """What the request is told of kept prompts; None where it names no model."""
+        """Return the cache use of the request at the server; None if it names no model."""
         request = self.request
         if request.model is None:
             return None
@@ -81,14 +81,14 @@
         if not shared:
             return CacheUse(revision, salt, None, None)
         stores = self._stores()
-        kept = dict(self._coverage(salt))
-        own = kept.pop(server.address, 0)
-        source = max(kept, key=kept.__getitem__, default=None)
-        if source is not None and kept[source] < own + LEAST_FETCH_TOKENS:
+        cached = dict(self._coverage(salt))
+        own_tokens = cached.pop(server.address, 0)
+        source = max(cached, key=cached.__getitem__, default=None)
+        if source is not None and cached[source] < own_tokens + MIN_FETCH_TOKENS:
             source = None
-        wanted = sum(part.tokens for part in shared)
-        saved = any(kept[store] >= wanted for store in stores)
-        save_to = None if saved else store_for_key(request.key, stores)
+        shared_token_count = sum(part.tokens for part in shared)
+        is_saved = any(cached[store] >= shared_token_count for store in stores)
+        save_to = None if is_saved else store_for_key(request.key, stores)
         return CacheUse(revision, salt, source, save_to)
 
     def _salt(self, server: Server) -> str:
@@ -98,25 +98,27 @@
         return cache_salt(model, server.revisions.get(model, 0), isolated)
 
     def _coverage(self, salt: str) -> dict[str, int]:
-        """How much of the prompt each server and store keeps under the salt."""
-        known = self._covered.get(salt)
-        if known is None:
+        """Return how many prompt tokens each server and store holds under the salt."""
+        coverage = self._coverage_by_salt.get(salt)
+        if coverage is None:
             request = self.request
             servers = [server.address for server in self.plane.servers.of_service(self.service)]
             holders = [*servers, *self._stores()]
-            known = self.plane.index.coverage(salt, request.model, request.parts, holders)
-            self._covered[salt] = known
-        return known
-
-    def _being_read(self, salt: str) -> ExpectedPrefix | None:
-        """What a server is reading of the prompt for an earlier request of this sidecar."""
-        if salt not in self._expected:
-            reads = self.plane.pending_prefills
-            self._expected[salt] = reads.expected(salt, self.request.model, self.request.parts, clock())
-        return self._expected[salt]
-
-    def begin_read(self, server: Server) -> None:
-        """The request is sent to the server: what of its shared parts nobody keeps is read there for the first time."""
+            coverage = self.plane.index.coverage(salt, request.model, request.parts, holders)
+            self._coverage_by_salt[salt] = coverage
+        return coverage
+
+    def _pending_prefill(self, salt: str) -> ExpectedPrefix | None:
+        """Return the pending prefill of this prompt's parts for an earlier request of this sidecar."""
+        if salt not in self._prefill_by_salt:
+            prefills = self.plane.pending_prefills
+            self._prefill_by_salt[salt] = prefills.expected(
+                salt, self.request.model, self.request.parts, clock()
+            )
+        return self._prefill_by_salt[salt]
+
+    def begin_prefill(self, server: Server) -> None:
+        """Record that the server starts to prefill shared parts that are cached nowhere yet."""
         request = self.request
         if request.model is None or not request.parts:
             return
@@ -124,8 +126,8 @@
         if max(self._coverage(salt).values(), default=0) < shared_tokens(request.parts):
             self.plane.pending_prefills.begin(salt, request.model, request.parts, server.address, clock())
 
-    def end_read(self, server: Server, salt: str) -> None:
-        """The parts are kept there from now on, or the attempt has failed."""
+    def end_prefill(self, server: Server, salt: str) -> None:
+        """Record that the parts are cached at the server, or that the attempt has failed."""
         request = self.request
         if request.model is not None and request.parts:
             self.plane.pending_prefills.end(salt, request.model, request.parts, server.address)
--- a/tests/dataplane/stand.py
+++ b/tests/dataplane/harness.py
@@ -1,6 +1,7 @@
-"""A data plane's core in this process, between stand-in model servers and clients on loopback, all on one scheduler.
+"""A test harness: the data plane's request path between fake model servers and clients on loopback.
 
-Nothing sleeps: servers and clients are tasks that wait for bytes, and a test ends with its last client.
+Everything runs in this process on one scheduler. Servers and clients are tasks that wait for bytes, without sleeps,
+and a test ends when its last client does.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 
 from iristrack.configuration.document import parse_configuration
 from iristrack.dataplane.clients import ClientListener
-from iristrack.dataplane.discovery import apply_list
-from iristrack.dataplane.exchange import answer_request
+from iristrack.dataplane.discovery import apply_server_list
+from iristrack.dataplane.exchange import handle_request
 from iristrack.dataplane.state import ActiveConfiguration, PlaneState
 from iristrack.http1 import messages as http
 from iristrack.http1.connection import connect
@@ -28,25 +29,25 @@
 from iristrack.settings import read_settings
 
 NS_PER_S = 1_000_000_000
-PATIENCE_NS = 20 * NS_PER_S  # only a failing test waits so long
+TEST_TIMEOUT_NS = 20 * NS_PER_S  # only a failing test waits this long
 LOOPBACK = ("127.0.0.1", 0)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 MODEL = "daka510000"
-SEALED = b"X-Iristrack-Server-Seal: s1\r\n"
-CHUNKED = b"Transfer-Encoding: chunked\r\n"
+SEAL_LINE = b"X-Iristrack-Server-Seal: s1\r\n"
+CHUNKED_LINE = b"Transfer-Encoding: chunked\r\n"
 NOT_EXECUTED = b"X-Iristrack-Not-Executed: 1\r\n"
 
 
 def yield_turn(scheduler: Scheduler) -> None:
-    """Let the other tasks take a turn."""
+    """Let the other tasks run for one turn of the event loop."""
     scheduler.call_at(clock(), scheduler.current.wake)
     scheduler.wait(-1, 0, None)
 
 
-class Conversation:
-    """One request at a stand-in server, and the connection on which it is answered."""
+class ServerExchange:
+    """One request that a fake server received, and the connection for its response."""
 
-    def __init__(self, server: StandInServer, sock: socket.socket, message: http.Message) -> None:
+    def __init__(self, server: FakeModelServer, sock: socket.socket, message: http.Message) -> None:
         self.server = server
         self.sock = sock
         self.message = message
@@ -59,8 +60,8 @@
         scheduler = self.server.scheduler
         send_all(self.sock, data, lambda: scheduler.wait(self.sock.fileno(), WRITE, None))
 
-    def dribble(self, data: bytes) -> None:
-        """Byte by byte, each in a turn of its own."""
+    def send_bytewise(self, data: bytes) -> None:
+        """Send the data byte by byte, one byte per turn of the event loop."""
         for at in range(len(data)):
             self.send(data[at : at + 1])
             yield_turn(self.server.scheduler)
@@ -72,8 +73,8 @@
     def close(self) -> None:
         self.sock.close()
 
-    def wait_for_end(self) -> None:
-        """Until the other side has ended the connection."""
+    def wait_until_closed(self) -> None:
+        """Wait until the other side has closed the connection."""
         with suppress(OSError):
             while True:
                 self.server.scheduler.wait(self.sock.fileno(), READ, None)
@@ -82,11 +83,11 @@
         self.server.ended += 1
 
 
-Answer = bytes | Callable[[Conversation], None]
+ServerScript = bytes | Callable[[ServerExchange], None]
 
 
-def named(answer: bytes, attempt_id: bytes) -> bytes:
-    """The answer with the request's id in its head, as servers echo it, unless there is one already."""
+def with_attempt_id(answer: bytes, attempt_id: bytes) -> bytes:
+    """Add the request's id to the response's head, as servers echo it, unless there is one already."""
     head, _, _ = answer.partition(b"\r\n\r\n")
     if not answer.startswith(b"HTTP/") or b"x-iristrack-attempt-id" in head.lower():
         return answer
@@ -94,15 +95,15 @@
     return first + b"\r\nX-Iristrack-Attempt-Id: " + attempt_id + b"\r\n" + rest
 
 
-class StandInServer:
-    """Answers its requests one after the other with `answers`, the last one again and again."""
+class FakeModelServer:
+    """Respond to successive requests with successive `answers`; the last one is repeated."""
 
-    def __init__(self, scheduler: Scheduler, answers: tuple[Answer, ...]) -> None:
+    def __init__(self, scheduler: Scheduler, answers: tuple[ServerScript, ...]) -> None:
         self.scheduler = scheduler
         self.answers = list(answers)
         self.requests: list[http.Message] = []
         self.opened = 0
-        self.ended = 0  # connections of which `wait_for_end` saw the end
+        self.ended = 0  # connections that `wait_until_closed` saw close
         self._listener = listening(LOOPBACK, 16)
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
@@ -117,7 +118,7 @@
         sock, _ = self._listener.accept()
         sock.setblocking(False)
         self.opened += 1
-        self.scheduler.spawn("stand-in server", self._serve, sock)
+        self.scheduler.spawn("fake model server", self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
         reader = http.Reader(limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
@@ -132,13 +133,13 @@
                     message = reader.feed(data)
                 self.requests.append(message)
                 answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-                conversation = Conversation(self, sock, message)
+                exchange = ServerExchange(self, sock, message)
                 if isinstance(answer, bytes):
-                    conversation.send(named(answer, conversation.id))
+                    exchange.send(with_attempt_id(answer, exchange.id))
                 else:
-                    answer(conversation)
+                    answer(exchange)
         except OSError:
-            pass  # the data plane has ended the connection
+            pass  # the data plane has closed the connection
         finally:
             sock.close()
 
@@ -152,7 +153,7 @@
 
 @dataclass
 class Received:
-    """What a client got, and how its connection stood then: "open", "closed" or "reset"."""
+    """What a client received, and the state of its connection afterwards: "open", "closed" or "reset"."""
 
     raw: bytes = b""
     message: http.Message | None = None
@@ -175,22 +176,22 @@
 
 
 class Client:
-    """One connection of a client; its methods run in a task."""
+    """One client connection; its methods run in a task."""
 
-    def __init__(self, stand: Stand) -> None:
-        self.scheduler = stand.scheduler
-        self.sock = connect(stand.scheduler, stand.address, clock() + PATIENCE_NS)
+    def __init__(self, harness: Harness) -> None:
+        self.scheduler = harness.scheduler
+        self.sock = connect(harness.scheduler, harness.address, clock() + TEST_TIMEOUT_NS)
         self.reader = http.Reader(response=True, limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
 
     def send(self, data: bytes) -> None:
         send_all(self.sock, data, lambda: self.scheduler.wait(self.sock.fileno(), WRITE, None))
 
     def receive(self, until: bytes | None = None) -> Received:
-        """A whole answer, or what came before the connection's end; with `until` at the latest up to that."""
+        """Receive a complete response, or the bytes up to `until` or to the connection's end, whichever is first."""
         received = Received()
         received.message = None if self.reader.empty else self.reader.feed(b"")
         while received.message is None and (until is None or until not in received.raw):
-            self.scheduler.wait(self.sock.fileno(), READ, clock() + PATIENCE_NS)
+            self.scheduler.wait(self.sock.fileno(), READ, clock() + TEST_TIMEOUT_NS)
             try:
                 data = self.sock.recv(65536)
             except ConnectionResetError:
@@ -203,89 +204,89 @@
             received.message = self.reader.feed(data)
         return received
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.sock.close()
 
 
 @dataclass
-class Stand:
-    """The plane, its listener for clients, and the stand-in servers."""
+class Harness:
+    """The data plane's state, its client listener, and the fake servers."""
 
     scheduler: Scheduler
     plane: PlaneState
     listener: ClientListener
     failures: list[str]
-    servers: dict[str, StandInServer] = field(default_factory=dict)
+    servers: dict[str, FakeModelServer] = field(default_factory=dict)
     entries: list[ListedServer] = field(default_factory=list)
 
     @property
     def address(self) -> tuple[str, int]:
         return self.listener._listener.getsockname()
 
-    def serve(self, *answers: Answer, service: str = "pool", revision: int = 1) -> StandInServer:
-        """A further server on the list; of those that are equally busy the earlier one is asked first."""
-        return self.add(StandInServer(self.scheduler, answers), service, revision)
+    def serve(self, *answers: ServerScript, service: str = "pool", revision: int = 1) -> FakeModelServer:
+        """Start a server and add it to the list; of equally loaded servers the first added is chosen first."""
+        return self.add(FakeModelServer(self.scheduler, answers), service, revision)
 
-    def add(self, server: StandInServer, service: str = "pool", revision: int = 1) -> StandInServer:
-        """Name a server on the list."""
+    def add(self, server: FakeModelServer, service: str = "pool", revision: int = 1) -> FakeModelServer:
+        """Add a server to the list."""
         name = f"i-{len(self.entries)}"
         self.servers[name] = server
         self.entries.append(
             ListedServer(name, service, server.address, "zone", True, 8, ((MODEL, revision),))
         )
-        apply_list(self.plane, self.entries)
-        self.known(name).others_inflight = len(self.entries) - 1
+        apply_server_list(self.plane, self.entries)
+        self.listed_server(name).others_inflight = len(self.entries) - 1
         return server
 
-    def known(self, name: str) -> Server:
+    def listed_server(self, name: str) -> Server:
         return self.plane.servers.servers[name]
 
     def configure(self, document: dict[str, Any]) -> None:
         self.plane.active = ActiveConfiguration(parse_configuration(json.dumps(document).encode()))
 
     def run(self, *calls: Callable[[], object]) -> list[Any]:
-        """Run the calls as tasks until all have ended; what they returned."""
+        """Run the calls as tasks until all have ended; return their results."""
         results: list[Any] = [None] * len(calls)
-        left = set(range(len(calls)))
+        unfinished = set(range(len(calls)))
 
         def run_call(number: int) -> None:
             try:
                 results[number] = calls[number]()
             finally:
-                left.discard(number)
-                if not left:
+                unfinished.discard(number)
+                if not unfinished:
                     self.scheduler.stop()
 
         for number in range(len(calls)):
             self.scheduler.spawn(f"call {number}", run_call, number)
-        self._turn()
-        assert not left, "it did not come about"
+        self._run_loop()
+        assert not unfinished, f"{len(unfinished)} calls did not end"
         return results
 
-    def turn_until(self, holds: Callable[[], object]) -> None:
-        """Turn the loop until it holds."""
+    def run_until(self, condition: Callable[[], object]) -> None:
+        """Run the event loop until `condition` returns true."""
 
-        def look() -> None:
-            while not holds():
+        def poll() -> None:
+            while not condition():
                 yield_turn(self.scheduler)
 
-        self.run(look)
+        self.run(poll)
 
-    def _turn(self) -> None:
+    def _run_loop(self) -> None:
         self.scheduler._stopped = False
-        guard = self.scheduler.call_at(clock() + PATIENCE_NS, self.scheduler.stop)
+        timeout = self.scheduler.call_at(clock() + TEST_TIMEOUT_NS, self.scheduler.stop)
         self.scheduler.run()
-        guard.cancel()
+        timeout.cancel()
         assert not self.failures, "\n".join(self.failures)
 
     def ask(self, request: bytes) -> Received:
-        """One request on a connection of its own."""
+        """Send one request on a new connection and return the response."""
 
         def call() -> Received:
             client = Client(self)
             client.send(request)
             received = client.receive()
-            client.leave()
+            client.disconnect()
             return received
 
         (received,) = self.run(call)
@@ -318,7 +319,7 @@
     } | more
 
 
-def make_stand() -> Stand:
+def make_harness() -> Harness:
     failures: list[str] = []
     scheduler = Scheduler(lambda text: failures.append(f"{text}\n{traceback.format_exc()}"))
     settings = read_settings(
@@ -328,17 +329,17 @@
     ).ok
     plane = PlaneState(settings, scheduler, Links(scheduler, 5 * NS_PER_S, 100, whole=0), random.Random(1))
     listener = ClientListener(
-        scheduler, LOOPBACK, lambda client, message, at: answer_request(plane, client, message, at), 50
+        scheduler, LOOPBACK, lambda client, message, at: handle_request(plane, client, message, at), 50
     )
-    stand = Stand(scheduler, plane, listener, failures)
-    stand.configure(document())
-    budget = plane.budget("pool")
-    budget.tokens = budget.capacity  # as of a process that has been running for a while
-    return stand
+    harness = Harness(scheduler, plane, listener, failures)
+    harness.configure(document())
+    budget = plane.retry_budget("pool")
+    budget.tokens = budget.capacity  # as in a process that has been running for a while
+    return harness
 
 
-def asking(prefix: str, attempt_id: str = "a1", lines: bytes = b"", body: bytes = b"") -> bytes:
-    """A client's request on the route of that prefix."""
+def client_request(prefix: str, attempt_id: str = "a1", lines: bytes = b"", body: bytes = b"") -> bytes:
+    """Return a client's request on the route with this prefix."""
     fixed = (
         b"Host: h.example\r\nX-Iristrack-Attempt-Id: %b\r\nX-Iristrack-Time-Left-Ms: 9000\r\n"
         % attempt_id.encode()
@@ -352,11 +353,11 @@
 
 def stream_head(seal: bytes = b"s1") -> bytes:
     lines = b"Content-Type: text/event-stream\r\nX-Iristrack-Server-Seal: %b\r\n" % seal
-    return b"HTTP/1.1 200 OK\r\n" + lines + CHUNKED + b"\r\n"
+    return b"HTTP/1.1 200 OK\r\n" + lines + CHUNKED_LINE + b"\r\n"
 
 
 def stream(first: int, last: int, seal: bytes = b"s1") -> bytes:
-    """A whole stream."""
+    """Return a complete event stream."""
     return stream_head(seal) + chunks(first, last) + http.LAST_CHUNK
 
 
