--- a/iristrack/controlplane/__init__.py
+++ b/iristrack/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: the registers of the core, the operator's API, updates to the data plane, orders to servers."""
+"""The control plane: the core's registers, the operators' API, updates to the data plane and orders to servers."""
--- a/iristrack/controlplane/distribution.py
+++ b/iristrack/controlplane/distribution.py
@@ -1,9 +1,10 @@
-"""Handing topics on: to subscribers, and to the other core members.
+"""Distributes topics to subscribers and to the other core members.
 
-A subscriber that has the configuration before an amendment is sent the amendment alone, one that lacks it the whole.
+A subscriber that has the configuration before an amendment is sent only the amendment; any other is sent the whole
+configuration.
 
-A connection loses nothing while it lasts, so that nothing is sent twice over one. A subscriber whose link is slower
-than the changes come is sent the newest value of each topic when it has taken what was sent before, and none between.
+Connections are reliable, so nothing is sent twice over the same one. A subscriber whose link is slower than the rate of
+changes is sent the newest value of each topic once it has received everything sent before; values between are skipped.
 """
 
 from __future__ import annotations
@@ -25,46 +26,46 @@
 )
 from iristrack.wire.values import decode_value
 
-# Topics whose changes are announced to subscribers that another member pushes to.
+# Topics whose changes are announced to subscribers that receive pushes from another member.
 ANNOUNCED = frozenset({topics.CONFIGURATION, topics.VERSIONS, topics.MEMBERS, topics.ROLLOUTS})
-MOST_AMENDMENTS = 64  # the newest ones that are kept for subscribers
-MOST_AHEAD = 32 * 1024  # bytes queued for a subscriber, above which changes wait for the newest
+MAX_AMENDMENTS = 64  # newest amendments kept for subscribers
+MAX_QUEUED_BYTES = 32 * 1024  # queued bytes above which a subscriber's changes wait and are coalesced
 
 
 @dataclass(slots=True)
 class Subscriber:
-    """What one connection is told."""
+    """State of one subscribed connection."""
 
-    push: bool  # changes are told as they come, else only what is asked for
-    member: bool  # a core member, which the first to know tells by itself
-    sent: dict[str, int] = field(default_factory=dict)  # the newest sequence of each topic on this connection
+    push: bool  # changes are sent as they occur; otherwise only on request
+    member: bool  # a core member, to which the member that publishes a change sends it directly
+    sent: dict[str, int] = field(default_factory=dict)  # newest sequence sent, by topic
     waiting: set[str] = field(default_factory=set)  # topics with a change that has not been sent
 
 
 class Distribution:
-    """The topics of this process and those who follow them."""
+    """The topics of this process and their subscribers."""
 
     def __init__(
         self,
         broadcast_to_core: Callable[[Update], None],
         announcement: Callable[[Update], Heartbeat],
     ) -> None:
-        """`broadcast_to_core` sends to the other core members; `announcement` tells the version of an update."""
+        """`broadcast_to_core` sends to the other core members; `announcement` builds the announcement of an update."""
         self.topics = TopicTable()
         self.announcement = announcement
         self.subscribers: dict[PeerConnection, Subscriber] = {}
         self.broadcast_to_core = broadcast_to_core
         self.on_learned: list[Callable[[Update], None]] = []
-        self._frames: dict[str, tuple[int, bytes]] = {}  # by topic: the sequence, and the update's frame
-        self._amendments: dict[int, bytes] = {}  # frames, by the sequence of the configuration that results
+        self._frames: dict[str, tuple[int, bytes]] = {}  # by topic: sequence and frame of the newest update
+        self._amendments: dict[int, bytes] = {}  # frames by the sequence of the configuration that results
 
     def publish(self, update: Update) -> None:
-        """Take a value that this process has made or learned first, and tell everyone."""
+        """Publish a value that this process committed or read, to the other members and all subscribers."""
         if self._learn(update):
             self.broadcast_to_core(update)
 
-    def hear(self, update: Update) -> None:
-        """Take a value that another core member told of, and tell this process's subscribers."""
+    def receive(self, update: Update) -> None:
+        """Handle a value that another core member published: relay it to this process's subscribers."""
         self._learn(update)
 
     def _learn(self, update: Update) -> bool:
@@ -74,9 +75,8 @@
             self._keep_amendment(update)
         for connection, subscriber in list(self.subscribers.items()):
             if subscriber.push and (not subscriber.member or update.topic == topics.MEMBERS):
-                self._offer(
-                    connection, subscriber, update
-                )  # a newcomer is no member yet that the first to know tells
+                # Member sets also go to core machines: the publisher does not know a newcomer as a member yet.
+                self._offer(connection, subscriber, update)
         self._announce(update)
         for call in self.on_learned:
             call(update)
@@ -87,11 +87,11 @@
         if value is None or not value.amendment:
             return
         self._amendments[value.sequence] = encode(ConfigurationAmendment(value.sequence, value.amendment))
-        while len(self._amendments) > MOST_AMENDMENTS:
+        while len(self._amendments) > MAX_AMENDMENTS:
             del self._amendments[min(self._amendments)]
 
     def _announce(self, update: Update) -> None:
-        """Tell subscribers whose pushes come from another member that there is a newer version.
+        """Announce a newer version to subscribers that receive their pushes from another member.
 
         They ask here if that member does not push it in time (`relay/catch_up.py`).
         """
@@ -103,7 +103,7 @@
                 connection.send_frame(frame)
 
     def subscribe(self, connection: PeerConnection, message: Subscribe, member: bool = False) -> None:
-        """Tell a subscriber what it has missed and, where it wants pushes, everything from now on."""
+        """Send a subscriber what it has missed and, if it wants pushes, every change from now on."""
         known = self.subscribers.get(connection)
         if known is None:
             known = self.subscribers[connection] = Subscriber(message.push, member)
@@ -117,7 +117,7 @@
             self._catch_up(connection, known, message.known)
 
     def on_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
-        """A subscriber tells how new its copies are: one that wants pushes is sent what it has missed."""
+        """Handle a subscriber's versions: send it what it has missed if it wants pushes."""
         self.topics.observe(message.known)
         subscriber = self.subscribers.get(connection)
         if subscriber is not None and subscriber.push:
@@ -130,11 +130,11 @@
             self._offer(connection, subscriber, update)
 
     def _offer(self, connection: PeerConnection, subscriber: Subscriber, update: Update) -> None:
-        """Send an update, or have it wait where much is under way to this subscriber."""
+        """Send an update, or mark it as waiting if many bytes are queued for this subscriber."""
         sent = subscriber.sent.get(update.topic, -1)
         if sent >= update.sequence:
             return
-        if connection.queued > MOST_AHEAD:
+        if connection.queued > MAX_QUEUED_BYTES:
             subscriber.waiting.add(update.topic)
             return
         subscriber.sent[update.topic] = update.sequence
@@ -143,11 +143,14 @@
             connection.send_frame(frame)
 
     def _amendments_from(self, update: Update, sent: int) -> list[bytes]:
-        """The amendments that make the update of what was sent; empty where the whole is needed, or is shorter."""
+        """Return the amendments that lead from what was sent to the update.
+
+        Return an empty list if the whole value is needed, or is shorter.
+        """
         if update.topic != topics.CONFIGURATION:
             return []
         sequences = range(sent + 1, update.sequence + 1)
-        if len(sequences) > MOST_AMENDMENTS or any(s not in self._amendments for s in sequences):
+        if len(sequences) > MAX_AMENDMENTS or any(s not in self._amendments for s in sequences):
             return []
         frames = [self._amendments[sequence] for sequence in sequences]
         return frames if sum(map(len, frames)) < len(self._frame(update)) else []
@@ -159,7 +162,7 @@
         return known[1]
 
     def _on_drained(self, connection: PeerConnection) -> None:
-        """All that was sent has been taken: what came meanwhile follows, the newest of each topic."""
+        """Send the newest value of each waiting topic, now that the queue is empty."""
         subscriber = self.subscribers.get(connection)
         if subscriber is None:
             return
@@ -167,5 +170,5 @@
             self._offer(connection, subscriber, self.topics.get(topic))
 
     def forget(self, connection: PeerConnection) -> None:
-        """The connection has ended."""
+        """Drop the state of a connection that has ended."""
         self.subscribers.pop(connection, None)
--- a/iristrack/controlplane/duty_holder.py
+++ b/iristrack/controlplane/duty_holder.py
@@ -1,4 +1,4 @@
-"""One duty of the core: claimed and renewed in its register, held by one member at a time under a fence."""
+"""One duty of the core: claimed and renewed in its register, held by one member at a time under a fencing token."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from iristrack.wire.values import decode_value
 
 NS_PER_MS = 1_000_000
-CLAIM_NS = 800 * NS_PER_MS  # a claim that takes longer is given up
+CLAIM_TIMEOUT_NS = 800 * NS_PER_MS
 
 
 class DutyHolder:
     """This process's part in holding one duty.
 
     Attributes:
-        lease: Whether the duty is held here, by another process, or by nobody.
+        lease: Tracks whether the duty is held here, by another process, or by nobody.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         publish: Callable[[Update], None],
         log,
     ) -> None:
-        """`duty` is the register's key, and the topic under which its value is told by `publish`."""
+        """`duty` is the key of the register, and the topic under which `publish` sends its value."""
         self.lease = lease
         self._scheduler = scheduler
         self._register = register
@@ -42,20 +42,23 @@
 
     @property
     def holding(self) -> Holding | None:
-        """The duty as this process holds it, None where it does not."""
+        """The duty as this process holds it, None if it does not."""
         return self.lease.holding
 
     @property
     def may_act(self) -> bool:
-        """May this process act for the duty now?"""
+        """Whether this process may act for the duty now."""
         return self.lease.may_act(self._scheduler.now())
 
     def on_value(self, value: bytes) -> None:
-        """The register's value was told of."""
+        """Handle a published value of the register."""
         self.lease.observe(decode_value(value, DutyValue), self._scheduler.now())
 
-    def keep(self) -> bool:
-        """Claim or renew the duty where that is due, from a task of the loop; may this process act now?"""
+    def maintain(self) -> bool:
+        """Claim or renew the duty if that is due, and return whether this process may act now.
+
+        Call this from a task of the loop.
+        """
         now = self._scheduler.now()
         if self.lease.seen is None:
             self.lease.observe(None, now)
@@ -66,7 +69,7 @@
     def _claim(self, began: int) -> None:
         expected = self.lease.seen
         change = changes.claim_duty(self.lease.node, self.lease.process, expected, self.lease.refused_fence)
-        result = self._register.change(self._duty, change, began + CLAIM_NS)
+        result = self._register.change(self._duty, change, began + CLAIM_TIMEOUT_NS)
         now = self._scheduler.now()
         if isinstance(result, Committed):
             self._committed(result.value, began, now)
--- a/iristrack/controlplane/environment.py
+++ b/iristrack/controlplane/environment.py
@@ -1,7 +1,7 @@
-"""What a control plane stands on: time, disk, connections to other processes, and the operators' listener.
+"""The environment of a control plane: time, disk, connections to other processes, and the operators' listener.
 
-A running program stands on `SystemEnvironment`. The simulation hands in virtual time, disks and links instead, so that
-what it plays is the program itself (`simulation/control.py`).
+A running program uses `SystemEnvironment`. The simulation passes in virtual time, disks and links instead, so it runs
+the program's own code (`simulation/control.py`).
 """
 
 from __future__ import annotations
@@ -24,65 +24,65 @@
 
 
 class Sync(Protocol):
-    """Writes records in order and tells when they are on the disk; as `SyncThread`."""
+    """Writes records in order and reports when they are synced; `SyncThread` implements it."""
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start writing."""
 
     def submit(self, records, on_done: OnDone) -> None:
-        """Have records on the disk."""
+        """Queue records; `on_done` is called when they are synced or refused."""
 
     def stop(self, within_s: float) -> bool:
-        """Write what waits and end."""
+        """Write the queued records and stop."""
 
 
 class Environment(Protocol):
-    """What a control plane is given."""
+    """The interface between a control plane and its surroundings."""
 
     scheduler: Scheduler
-    rng: random.Random  # names of processes and incarnations, and waits, are drawn from it
+    rng: random.Random  # draws names of processes and incarnations, and waits
 
     def open_acceptor_store(self, folder: str, node: str) -> OpenedAcceptorStore:
-        """What the disk holds; raises `store.acceptor_store.AcceptorStoreError` or `OSError`."""
+        """Read the records of the disk; raises `store.acceptor_store.AcceptorStoreError` or `OSError`."""
 
     def make_sync(self, opened: OpenedAcceptorStore, on_failure: Callable[[Exception], None]) -> Sync:
-        """The writer of the disk that was opened."""
+        """Create the writer of the opened disk."""
 
     def open_connection(
         self, address: str, on_message: OnMessage, on_close: OnClose, within_ns: int
     ) -> PeerConnection:
-        """A connection to another process; raises `OSError`. Called from a task."""
+        """Connect to another process; raises `OSError`. Called from a task."""
 
     def listen_for_peers(
         self, address: tuple[str, int], on_open: OnClose, on_message: OnMessage, on_close: OnClose
     ) -> None:
-        """Accept inner connections; raises `OSError` where the address cannot be had."""
+        """Accept inner connections; raises `OSError` if the address is not available."""
 
     def serve_operators(
-        self, address: tuple[str, int], answer: Callable[[http.Message], Response], most_body: int
+        self, address: tuple[str, int], answer: Callable[[http.Message], Response], max_body_bytes: int
     ) -> Callable[[], None]:
-        """Answer calls at the address; returns what ends that. Raises `OSError`."""
+        """Answer calls at the address, and return a function that stops it; raises `OSError`."""
 
 
 class SystemEnvironment:
-    """The machine: its clock, its disk and its sockets."""
+    """The clock, disk and sockets of the machine."""
 
     def __init__(self, report_failure: Callable[[str], None]) -> None:
-        """`report_failure` is called while an exception that ended a task is handled."""
+        """`report_failure` is called from the handler of an exception that ended a task."""
         self.scheduler = Scheduler(report_failure)
         self.rng = random.SystemRandom()
 
     def open_acceptor_store(self, folder: str, node: str) -> OpenedAcceptorStore:
-        """The folder's records."""
+        """Read the records in the folder."""
         return open_acceptor_store(folder, node)
 
     def make_sync(self, opened: OpenedAcceptorStore, on_failure: Callable[[Exception], None]) -> SyncThread:
-        """A thread that writes to the folder."""
+        """Create a thread that writes to the folder."""
         return SyncThread(opened.store, self.scheduler, on_failure)
 
     @property
     def open_connection(self) -> OpenConnection:
-        """A connection over TCP."""
+        """The function that connects over TCP."""
         return open_connection(self.scheduler)
 
     def listen_for_peers(
@@ -96,7 +96,7 @@
         self._listener = PeerListener(self.scheduler, address, on_socket)
 
     def serve_operators(
-        self, address: tuple[str, int], answer: Callable[[http.Message], Response], most_body: int
+        self, address: tuple[str, int], answer: Callable[[http.Message], Response], max_body_bytes: int
     ) -> Callable[[], None]:
         """Answer calls over HTTP/1.1."""
-        return HttpServer(self.scheduler, address, answer, most_body).stop
+        return HttpServer(self.scheduler, address, answer, max_body_bytes).stop
--- a/iristrack/controlplane/list_poller.py
+++ b/iristrack/controlplane/list_poller.py
@@ -1,4 +1,4 @@
-"""Fetching the platform's list for everyone: one core member does, the first of those that are connected."""
+"""Polls the platform's server list: the first of the connected core members fetches it for all processes."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 NS_PER_MS = 1_000_000
 TICK_NS = 100 * NS_PER_MS
-POLL_NS = 1000 * NS_PER_MS
-FAST_POLL_NS = 500 * NS_PER_MS  # while servers change
-FAST_FOR_NS = 3000 * NS_PER_MS
-REFRESH_NS = 2000 * NS_PER_MS  # an unchanged list is told again, so that others know that it is followed
-CALL_TIMEOUT_NS = 800 * NS_PER_MS
-STALE_NS = 3500 * NS_PER_MS  # a list that was not told again for so long is fetched by whoever sees it
+POLL_INTERVAL_NS = 1000 * NS_PER_MS
+FAST_POLL_INTERVAL_NS = 500 * NS_PER_MS  # while the list changes
+FAST_POLL_DURATION_NS = 3000 * NS_PER_MS
+REPUBLISH_INTERVAL_NS = 2000 * NS_PER_MS  # of an unchanged list, to show that it is still being polled
+FETCH_TIMEOUT_NS = 800 * NS_PER_MS
+STALE_NS = 3500 * NS_PER_MS  # a list not republished for this long is fetched by any member that notices
 
 
 class ListPoller:
-    """Polls while it is this member's turn, and publishes what has changed."""
+    """Polls the list while it is this member's turn, and publishes changes."""
 
     def __init__(
         self,
@@ -34,17 +34,18 @@
         is_first: Callable[[], bool],
         in_quorum: Callable[[], bool],
     ) -> None:
-        """`is_first`: is this the first of the members that are connected? Starts with the next turn of the loop.
+        """Start polling with the next turn of the loop.
 
-        `in_quorum`: does this process reach a quorum? Whoever does not tells no list, which could outrank a newer one
-        that the others tell: sidecars take the higher sequence.
+        `is_first` tells whether this is the first of the connected members, `in_quorum` whether this process reaches a
+        quorum. Without a quorum no list is published: it could outrank a newer one from the others, since sidecars take
+        the higher sequence.
         """
         self.scheduler = scheduler
         self.distribution = distribution
         self.is_first = is_first
         self.in_quorum = in_quorum
         self._value = b""
-        self._told_at = 0
+        self._published_at = 0
         self._changed_at = 0
         self._heard_at = self.scheduler.now()
         distribution.on_learned.append(self._on_learned)
@@ -67,19 +68,21 @@
             if now < next_at or not self._is_due(now):
                 continue
             self._poll()
-            fast = now - self._changed_at < FAST_FOR_NS
-            next_at = now + (FAST_POLL_NS if fast else POLL_NS)
+            fast = now - self._changed_at < FAST_POLL_DURATION_NS
+            next_at = now + (FAST_POLL_INTERVAL_NS if fast else POLL_INTERVAL_NS)
 
     def _is_due(self, now: int) -> bool:
         return self.in_quorum() and (self.is_first() or now - self._heard_at > STALE_NS)
 
     def _poll(self) -> None:
         try:
-            value = encode_value(to_message(fetch_list(self._caller, self.scheduler.now() + CALL_TIMEOUT_NS)))
+            value = encode_value(
+                to_message(fetch_list(self._caller, self.scheduler.now() + FETCH_TIMEOUT_NS))
+            )
         except ListUnavailable:
-            return  # the last list stands; the next call is soon
+            return  # the last list stays in use until the next poll
         now = self.scheduler.now()
-        if value != self._value or now - self._told_at >= REFRESH_NS:
-            self._told_at = now
+        if value != self._value or now - self._published_at >= REPUBLISH_INTERVAL_NS:
+            self._published_at = now
             sequence = self.distribution.topics.next_sequence(topics.SERVERS)
             self.distribution.publish(Update(topics.SERVERS, sequence, value))
--- a/iristrack/controlplane/load_hub.py
+++ b/iristrack/controlplane/load_hub.py
@@ -1,6 +1,6 @@
-"""Summing what sidecars have under way: each core member sums its own and tells members and sidecars.
+"""Sums the requests in flight at sidecars: each core member sums its own sidecars and reports to members and sidecars.
 
-All sidecars are told the same sum, in one frame that is encoded once; each takes its own share off by itself.
+All sidecars are sent the same sum, in a frame that is encoded once. Each sidecar subtracts its own share.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from iristrack.wire.connection import PeerConnection
 from iristrack.wire.messages import ServerLoad, ServerLoads
 
-MOST_AHEAD = 32 * 1024  # bytes queued for a sidecar, above which it is told nothing
+MAX_QUEUED_BYTES = 32 * 1024  # queued bytes above which a sidecar is sent nothing
 
 
 class LoadHub:
-    """The loads of the sidecars that report to this member, and the sums that other members told."""
+    """The loads of the sidecars that report to this member, and the sums reported by other members."""
 
-    def __init__(self, scheduler: Scheduler, node: str, tell_members: Callable[[ServerLoads], None]) -> None:
-        """Starts with the first turn of the loop."""
+    def __init__(self, scheduler: Scheduler, node: str, broadcast: Callable[[ServerLoads], None]) -> None:
+        """Schedule the first report; `broadcast` sends a report to the other members."""
         self.scheduler = scheduler
-        self.tell_members = tell_members
+        self.broadcast = broadcast
         self.own = LoadAggregator()
         self.members = LoadAggregator()
         self._reporters: dict[PeerConnection, str] = {}
@@ -31,28 +31,28 @@
         self._to_sidecars = ReportStream(node)
         scheduler.call_at(self.scheduler.now() + report_interval(0), self._tick)
 
-    def from_sidecar(self, connection: PeerConnection, loads: ServerLoads) -> None:
-        """A sidecar told its loads."""
+    def on_sidecar_loads(self, connection: PeerConnection, loads: ServerLoads) -> None:
+        """Record the loads of a sidecar."""
         if connection not in self._reporters:
             self._to_sidecars.force_full_report()
         self._reporters[connection] = loads.node
         self.own.apply_report(loads, self.scheduler.now())
 
-    def from_member(self, loads: ServerLoads) -> None:
-        """Another member told the sum of its sidecars' loads."""
+    def on_member_loads(self, loads: ServerLoads) -> None:
+        """Record another member's sum of its sidecars' loads."""
         self.members.apply_report(loads, self.scheduler.now())
 
-    def member_joined(self) -> None:
-        """A member was dialled that may know nothing of this one's loads."""
+    def on_member_dialed(self) -> None:
+        """Send the whole sum next: the dialled member may not know any of this one's loads."""
         self._to_members.force_full_report()
 
     @property
     def sidecars(self) -> int:
-        """How many sidecars report, here and at other members."""
+        """The number of sidecars that report here or at other members."""
         return self.own.sidecars() + self.members.sidecars()
 
     def total(self) -> dict[str, ServerLoad]:
-        """What all sidecars have under way, by instance."""
+        """Return the requests in flight of all sidecars, by instance."""
         return _sum(self.own.total, self.members.total)
 
     def _tick(self) -> None:
@@ -62,25 +62,24 @@
         self._drop_reporters()
         report = self._to_members.next(self.own.total, self.own.sidecars(), now)
         if report is not None:
-            self.tell_members(report)
-        self._tell_sidecars(now)
+            self.broadcast(report)
+        self._send_to_sidecars(now)
         self.scheduler.call_at(now + report_interval(self.sidecars), self._tick)
 
     def _drop_reporters(self) -> None:
-        """Forget sidecars that have left, or that report to another member by now."""
+        """Remove sidecars that have disconnected or now report to another member."""
         heard = set(self.own.senders())
         self._reporters = {c: node for c, node in self._reporters.items() if not c.closed and node in heard}
 
-    def _tell_sidecars(self, now: int) -> None:
+    def _send_to_sidecars(self, now: int) -> None:
         if not self._reporters:
             return
         report = self._to_sidecars.next(self.total(), self.sidecars, now)
         if report is not None:
             frame = encode(report)
             for connection in self._reporters:
-                if (
-                    connection.queued <= MOST_AHEAD
-                ):  # a slow link is told the next whole sum that it has room for
+                # A slow link skips reports; the next whole sum that it has room for brings it up to date.
+                if connection.queued <= MAX_QUEUED_BYTES:
                     connection.send_frame(frame)
 
 
--- a/iristrack/controlplane/operator_api.py
+++ b/iristrack/controlplane/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls: each is decoded into a command object, which is run at the registers."""
+"""The operators' API: each call is decoded into a command object, which is run at the registers."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from iristrack.wire.values import decode_value
 
 NS_PER_MS = 1_000_000
-CALL_TIMEOUT_NS = 900 * NS_PER_MS  # callers move on after a second of silence
-MAX_BODY_BYTES = 7 << 20  # with what stands around it, a record of the register holds 8 MiB at most
+CALL_TIMEOUT_NS = 900 * NS_PER_MS  # clients try another machine after a second without an answer
+MAX_BODY_BYTES = 7 << 20  # a register's record, which holds the body and more, is limited to 8 MiB
 RETRY_AFTER = b"Content-Type: application/json\r\nRetry-After: 0.3\r\n"
-MOST_REVISION_DIGITS = len(str(MAX_REVISION))
+MAX_REVISION_DIGITS = len(str(MAX_REVISION))
 BASE_HEADER = b"x-iristrack-base-version"
-MOST_NAME = 200  # characters
-LONGEST_ROLLOUT_S = 86_400
+MAX_NAME_CHARS = 200
+MAX_ROLLOUT_S = 86_400
 _ROLLOUT_READ = re.compile(rb"/rollouts/([^/]+)/read\Z")
 
 
@@ -86,7 +86,7 @@
 class ReadStatus:
     """`GET /system/status`."""
 
-    with_servers: bool  # `?servers`: the platform's list too
+    with_servers: bool  # `?servers`: include the platform's list
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BadCall:
-    """A call that is answered without a command."""
+    """A call that is refused without running a command."""
 
     status: int
     findings: tuple[Finding, ...]
@@ -113,15 +113,15 @@
     | ReadMetrics
     | BadCall
 )
-NO_BASE = BadCall(
+MISSING_BASE = BadCall(
     400, (Finding("X-Iristrack-Base-Version", "no number", "send the version that it builds on"),)
 )
 Publish = Callable[[Update], None]
-TellStatus = Callable[[bool], dict]  # of whether with servers
+MakeStatus = Callable[[bool], dict]  # the argument says whether to include the servers
 
 
 def decode_call(message: http.Message) -> Command:
-    """The command that a call asks for."""
+    """Return the command for a call."""
     path, _, query = message.head.target.partition(b"?")
     method = message.head.method
     if (method, path) == (b"POST", b"/config/replace"):
@@ -146,7 +146,7 @@
 def _decode_replace(message: http.Message) -> Command:
     base = _base_version(message)
     if base is None:
-        return NO_BASE
+        return MISSING_BASE
     result = read_configuration(message.body)
     if result.is_error():
         return BadCall(400, result.error)
@@ -156,7 +156,7 @@
 def _decode_amend(message: http.Message) -> Command:
     base = _base_version(message)
     if base is None:
-        return NO_BASE
+        return MISSING_BASE
     result = read_amendment(message.body)
     if result.is_error():
         return BadCall(400, result.error)
@@ -164,10 +164,10 @@
 
 
 def _base_version(message: http.Message) -> int | None:
-    told = message.head.fields.get(BASE_HEADER, b"")
-    if not told.isdigit() or len(told) > MOST_REVISION_DIGITS or int(told) > MAX_REVISION:
+    digits = message.head.fields.get(BASE_HEADER, b"")
+    if not digits.isdigit() or len(digits) > MAX_REVISION_DIGITS or int(digits) > MAX_REVISION:
         return None
-    return int(told)
+    return int(digits)
 
 
 def _decode_version(body: bytes) -> Command:
@@ -176,7 +176,7 @@
         model, revision = document["model_name"], document["revision"]
     except (ValueError, KeyError, TypeError, RecursionError):
         return BadCall(400, (Finding("body", "no JSON with model_name and revision", "send both"),))
-    if not isinstance(model, str) or not model or len(model) > 200 or not _is_text(model):
+    if not isinstance(model, str) or not model or len(model) > 200 or not _is_encodable(model):
         return BadCall(400, (Finding("model_name", "no name", "name the model"),))
     if type(revision) is not int or not 0 < revision < 1 << 62:
         return BadCall(400, (Finding("revision", "no number above 0", "send a whole number"),))
@@ -192,19 +192,19 @@
         return BadCall(400, (Finding("body", problem, "send all three"),))
     findings = []
     for place, name in (("target", service), ("target_version", version)):
-        if not isinstance(name, str) or not name or len(name) > MOST_NAME or not _is_text(name):
+        if not isinstance(name, str) or not name or len(name) > MAX_NAME_CHARS or not _is_encodable(name):
             findings.append(Finding(place, "no name", "name the service and its version"))
-    is_time = type(over_s) in (int, float) and 0 < over_s <= LONGEST_ROLLOUT_S
+    is_time = type(over_s) in (int, float) and 0 < over_s <= MAX_ROLLOUT_S
     if not is_time:
-        remedy = f"send the seconds that it may take, up to {LONGEST_ROLLOUT_S}"
+        remedy = f"send the seconds that it may take, up to {MAX_ROLLOUT_S}"
         findings.append(Finding("over_s", "no time", remedy))
     if findings:
         return BadCall(400, tuple(findings))
     return BeginRollout(service, version, max(1, int(over_s * 1000)))
 
 
-def _is_text(value: str) -> bool:
-    """Can it be written in UTF-8? JSON may name halves of characters."""
+def _is_encodable(value: str) -> bool:
+    """Tell whether the text can be encoded in UTF-8; JSON allows lone surrogates."""
     try:
         value.encode()
     except UnicodeEncodeError:
@@ -213,41 +213,43 @@
 
 
 class OperatorApi:
-    """Answers the operator's calls."""
+    """Answers the operators' calls."""
 
     def __init__(
         self,
         register: RegisterHost,
         publish: Publish,
-        tell_status: TellStatus,
+        make_status: MakeStatus,
         in_quorum: Callable[[], bool],
         log,
         repeat_ms: int = 0,
         rollouts_age_ms: Callable[[], int] = lambda: 0,
     ) -> None:
-        """`publish` tells everyone of a committed value; `in_quorum`: has this process heard from a quorum lately?
+        """Answer calls at `register`.
 
-        An order is a repeat for `repeat_ms` after the first one; `rollouts_age_ms`: how old are the known roll-outs?
+        `publish` sends a committed value to all processes. `in_quorum` tells whether this process has heard from a
+        quorum recently. The same roll-out order is a repeat for `repeat_ms` after the first one. `rollouts_age_ms`
+        returns the age of the known roll-outs.
         """
         self.repeat_ms = repeat_ms
         self.rollouts_age_ms = rollouts_age_ms
         self.in_quorum = in_quorum
-        self.tell_status = tell_status
+        self.make_status = make_status
         self.register = register
         self.publish = publish
         self.log = log
 
     def answer(self, message: http.Message) -> Response:
-        """Answer one call; runs in the task of its connection."""
+        """Answer one call, in the task of its connection."""
         command = decode_call(message)
         if isinstance(command, BadCall):
-            return _findings(command)
+            return _findings_response(command)
         if isinstance(command, ReadStatus):
-            return Response(200, json.dumps(self.tell_status(command.with_servers)).encode())
+            return Response(200, json.dumps(self.make_status(command.with_servers)).encode())
         if isinstance(command, ReadMetrics):
-            return Response(200, format_metrics(status_metrics(self.tell_status(False))), CONTENT_TYPE)
+            return Response(200, format_metrics(status_metrics(self.make_status(False))), CONTENT_TYPE)
         if not self.in_quorum():
-            return no_quorum()
+            return no_quorum_response()
         if isinstance(command, ReplaceConfiguration):
             return self._replace(command)
         if isinstance(command, AmendConfiguration):
@@ -271,11 +273,11 @@
         result = self._change_configuration(change, size)
         answer = self._answer_change(result, command.amendment.revision, command.base)
         if isinstance(result, Rejected | Overtaken) and result.reason == changes.INVALID:
-            return _findings(BadCall(400, change.findings))
+            return _findings_response(BadCall(400, change.findings))
         return answer
 
     def _change_configuration(self, change: changes.Change, size: int) -> ProposerResult:
-        """Change the register whose value has about `size` bytes, and tell everyone what it holds."""
+        """Change the register, whose value has about `size` bytes, and publish its value."""
         deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS + transfer_ns(size)
         result = self.register.change(topics.CONFIGURATION, change, deadline)
         self._publish_configuration(result)
@@ -288,14 +290,14 @@
         if isinstance(result, Rejected | Overtaken) and result.reason != changes.BASE_FORGOTTEN:
             status = 412 if result.reason == changes.BASE_DIFFERS else 400
             return Response(status, json.dumps({"message": result.reason}).encode())
-        return no_quorum()
+        return no_quorum_response()
 
     def _read(self) -> Response:
         size = self.register.value_size(topics.CONFIGURATION)
         deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS + transfer_ns(size)
         result = self.register.change(topics.CONFIGURATION, changes.unchanged, deadline)
         if not isinstance(result, Committed):
-            return no_quorum()
+            return no_quorum_response()
         value = decode_value(result.value, ConfigurationValue)
         if value is None:
             return Response(404, b'{"message":"no configuration yet"}')
@@ -308,9 +310,11 @@
             topics.VERSIONS, change, self.register.scheduler.now() + CALL_TIMEOUT_NS
         )
         if isinstance(result, Rejected):
-            return _findings(BadCall(400, (Finding("model_name", result.reason, "name one of those"),)))
+            return _findings_response(
+                BadCall(400, (Finding("model_name", result.reason, "name one of those"),))
+            )
         if not isinstance(result, Committed):
-            return no_quorum()
+            return no_quorum_response()
         value = decode_value(result.value, VersionsValue)
         if value is not None:
             self.publish(Update(topics.VERSIONS, value.sequence, result.value))
@@ -336,36 +340,36 @@
             return Response(200, b"{}")
         if isinstance(result, Rejected | Overtaken):
             return Response(409, json.dumps({"message": result.reason}).encode())
-        return no_quorum()
+        return no_quorum_response()
 
     def _unknown_service(self, service: str) -> Response | None:
-        """The refusal of a service that the newest configuration does not name; None where it does."""
+        """Return the refusal of a service that the newest configuration does not contain; None if it does."""
         deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS
         result = self.register.change(topics.CONFIGURATION, changes.unchanged, deadline)
         if not isinstance(result, Committed):
-            return no_quorum()
+            return no_quorum_response()
         value = decode_value(result.value, ConfigurationValue)
         services = () if value is None or not value.body else parse_services(value.body)
         if service in {known.label for known in services}:
             return None
-        return _findings(
+        return _findings_response(
             BadCall(422, (Finding("target", "no such service", "name one of the configuration"),))
         )
 
     def _read_rollout(self, command: ReadRollout) -> Response:
         result = self._change_rollouts(changes.unchanged)
         if not isinstance(result, Committed):
-            return no_quorum()
+            return no_quorum_response()
         value = decode_value(result.value, RolloutsValue)
         states = () if value is None else value.rollouts
         state = next((state for state in states if state.service == command.service), None)
         if state is None:
             return Response(404, b'{"message":"no roll-out of this service"}')
-        told = {"phase": state.phase, "target_version": state.version, "share": state.share / 1000}
-        return Response(200, json.dumps(told).encode())
+        document = {"phase": state.phase, "target_version": state.version, "share": state.share / 1000}
+        return Response(200, json.dumps(document).encode())
 
     def _change_rollouts(self, change: changes.Change) -> ProposerResult:
-        """Change the register of the roll-outs, and tell everyone what it holds."""
+        """Change the register of the roll-outs, and publish its value."""
         deadline = self.register.scheduler.now() + CALL_TIMEOUT_NS
         result = self.register.change(topics.ROLLOUTS, change, deadline)
         if isinstance(result, Committed | Rejected | Overtaken):
@@ -378,15 +382,15 @@
         if isinstance(result, Committed | Rejected | Overtaken):
             value = decode_value(result.value, ConfigurationValue)
             if value is not None:
-                told = changes.relayed_configuration(value)
-                self.publish(Update(topics.CONFIGURATION, value.sequence, told))
+                relayed = changes.relayed_configuration(value)
+                self.publish(Update(topics.CONFIGURATION, value.sequence, relayed))
 
 
-def no_quorum() -> Response:
-    """No clear answer: it may or may not be taken, and is to be sent again, to any control machine."""
+def no_quorum_response() -> Response:
+    """Return an inconclusive answer: the change may or may not be committed; the client retries at any core machine."""
     return Response(503, b'{"message":"no majority of the core answered"}', RETRY_AFTER)
 
 
-def _findings(call: BadCall) -> Response:
+def _findings_response(call: BadCall) -> Response:
     rows = [{"place": f.place, "message": f.problem, "remedy": f.remedy} for f in call.findings]
     return Response(call.status, json.dumps({"findings": rows}).encode())
--- a/iristrack/controlplane/prefix_cache_watch.py
+++ b/iristrack/controlplane/prefix_cache_watch.py
@@ -1,7 +1,9 @@
-"""Watching what servers and stores keep, once for all: each holder is watched by one core member, which tells the rest.
+"""Watches which prompt prefixes servers and stores have cached.
 
-A holder accepts few held calls at once, so data planes never ask it themselves. The member is the first of the
-connected ones in the ranking of the holder's address; when it is lost, the next one begins with the holder's list.
+A holder is a server or a store with a prefix cache. Each holder is watched by one core member, which relays its changes
+to the others. Holders accept few concurrent long polls, so data planes never poll them directly. The watching member is
+the first of the connected members in the ranking for the holder's address; if it is lost, the next one starts with the
+holder's list.
 """
 
 from __future__ import annotations
@@ -28,51 +30,54 @@
 from iristrack.wire.messages import KeptBatch, KeptParts, KeptSubscribe
 
 NS_PER_MS = 1_000_000
-HOLD_MS = 1000  # the longest wait that holders allow; under 200 ms a call would be priced as a probe
-CALL_TIMEOUT_NS = (HOLD_MS + 1500) * NS_PER_MS
-PAUSE_NS = 500 * NS_PER_MS  # after a call that failed
-LIST_NS = 5000 * NS_PER_MS  # between two calls for all that a holder keeps, where events were lost
-CHECK_NS = 250 * NS_PER_MS  # between two looks at which holders there are
-FLUSH_NS = 50 * NS_PER_MS  # between two messages of changes to few followers
-SUBSCRIBERS_PER_FLUSH = 16  # so many more followers add it once more
-LONGEST_FLUSH_NS = 200 * NS_PER_MS
-SNAPSHOT_ENTRIES = 64  # changes in one message
-MOST_AHEAD = 512 * 1024  # bytes queued for a follower, above which changes are left out
+LONG_POLL_MS = 1000  # the longest wait that holders allow; below 200 ms a call would be priced as a probe
+CALL_TIMEOUT_NS = (LONG_POLL_MS + 1500) * NS_PER_MS
+RETRY_DELAY_NS = 500 * NS_PER_MS  # after a failed call
+MIN_LIST_INTERVAL_NS = 5000 * NS_PER_MS  # between fetches of a holder's whole list after lost events
+HOLDER_CHECK_INTERVAL_NS = 250 * NS_PER_MS  # between two checks of which holders exist
+MIN_FLUSH_INTERVAL_NS = 50 * NS_PER_MS  # between two batches of changes, with few followers
+FOLLOWERS_PER_FLUSH_STEP = 16  # each such number of followers adds the minimum interval once more
+MAX_FLUSH_INTERVAL_NS = 200 * NS_PER_MS
+SNAPSHOT_ENTRIES = 64  # changes in one message of a snapshot
+MAX_QUEUED_BYTES = 512 * 1024  # queued bytes above which a follower's changes are dropped
 
 
 @dataclass(slots=True)
 class _Follower:
-    own_only: bool  # it follows the holders that this member watches itself
-    behind: bool = False  # changes were left out
+    own_only: bool  # follows only the holders that this member watches itself
+    behind: bool = False  # changes were dropped; a snapshot is due
 
 
 class PrefixCacheWatch:
-    """What all holders keep, as this member knows it, and those who follow it."""
+    """The prefixes cached by all holders, as far as this member knows, and the followers of this knowledge."""
 
     def __init__(
         self,
         scheduler: Scheduler,
-        me: str,
+        own_address: str,
         holders: Callable[[], set[str]],
         members: Callable[[], list[str]],
     ) -> None:
-        """`holders` names all there are, `members` the connected core members, this one (`me`) among them."""
+        """Start watching with the next turn of the loop.
+
+        `holders` returns all holders, `members` the connected core members including this one (`own_address`).
+        """
         self.scheduler = scheduler
-        self.me = me
+        self.own_address = own_address
         self.holders = holders
         self.members = members
         self.catalog = KeptCatalog()
         self._tasks: dict[str, Task] = {}
         self._followers: dict[PeerConnection, _Follower] = {}
-        self._own: list[KeptParts] = []  # changes to tell, of own holders
-        self._all: list[KeptParts] = []  # and of all
-        scheduler.spawn("kept prompts", self._run)
-        scheduler.call_at(scheduler.now() + FLUSH_NS, self._flush)
+        self._own_changes: list[KeptParts] = []  # unsent changes of the holders that this member watches
+        self._all_changes: list[KeptParts] = []  # unsent changes of all holders
+        scheduler.spawn("prefix cache watch", self._run)
+        scheduler.call_at(scheduler.now() + MIN_FLUSH_INTERVAL_NS, self._flush)
 
-    # ---- those who follow
+    # ---- followers
 
     def subscribe(self, connection: PeerConnection, message: KeptSubscribe) -> None:
-        """Tell a follower all there is, and every change from now on, or nothing any more."""
+        """Send a follower a snapshot and every change from now on, or end its subscription."""
         self._flush_now()
         if message.ends:
             self._followers.pop(connection, None)
@@ -87,56 +92,59 @@
         for at in range(0, len(changes), SNAPSHOT_ENTRIES):
             connection.send(KeptBatch(tuple(changes[at : at + SNAPSHOT_ENTRIES])))
 
-    def from_member(self, batch: KeptBatch) -> None:
-        """Another member told of holders that it watches."""
+    def on_member_batch(self, batch: KeptBatch) -> None:
+        """Apply and relay another member's changes of the holders that it watches."""
         for change in batch.entries:
             if change.holder not in self._tasks:
                 self.catalog.apply(change)
-                self._all.append(change)
+                self._all_changes.append(change)
 
     def _flush(self) -> None:
         self._flush_now()
         self.scheduler.call_at(self.scheduler.now() + self._flush_interval(), self._flush)
 
     def _flush_interval(self) -> int:
-        """Rarer messages to more followers: each costs a wake-up there, whatever it holds."""
-        return min(LONGEST_FLUSH_NS, FLUSH_NS * (1 + len(self._followers) // SUBSCRIBERS_PER_FLUSH))
+        """Return the interval (ns), longer for more followers: each batch costs a wake-up at each of them."""
+        return min(
+            MAX_FLUSH_INTERVAL_NS,
+            MIN_FLUSH_INTERVAL_NS * (1 + len(self._followers) // FOLLOWERS_PER_FLUSH_STEP),
+        )
 
     def _flush_now(self) -> None:
-        own, everything = self._own, self._all
+        own, everything = self._own_changes, self._all_changes
         if not everything:
             return
-        self._own, self._all = [], []
+        self._own_changes, self._all_changes = [], []
         own_frame = encode(KeptBatch(tuple(coalesce_changes(own)))) if own else None
         all_frame = encode(KeptBatch(tuple(coalesce_changes(everything))))
         for connection, follower in list(self._followers.items()):
             if connection.closed:
                 del self._followers[connection]
             else:
-                self._tell(connection, follower, own_frame if follower.own_only else all_frame)
+                self._send_changes(connection, follower, own_frame if follower.own_only else all_frame)
 
-    def _tell(self, connection: PeerConnection, follower: _Follower, frame: bytes | None) -> None:
-        """Send changes; one whose link takes too few of them is told everything anew when it has taken the rest."""
+    def _send_changes(self, connection: PeerConnection, follower: _Follower, frame: bytes | None) -> None:
+        """Send changes; a follower whose link is too slow gets a new snapshot once its queue is empty."""
         if follower.behind and not connection.queued:
             self._send_snapshot(connection, follower)
             return
-        follower.behind = follower.behind or connection.queued > MOST_AHEAD
+        follower.behind = follower.behind or connection.queued > MAX_QUEUED_BYTES
         if frame is not None and not follower.behind:
             connection.send_frame(frame)
 
-    # ---- own holders
+    # ---- holders watched by this member
 
     def _run(self) -> None:
         while True:
             holders = self.holders()
-            own = {holder for holder in holders if self._watcher(holder) == self.me}
+            own = {holder for holder in holders if self._watcher(holder) == self.own_address}
             for holder in [holder for holder in self._tasks if holder not in own]:
                 self._tasks.pop(holder).cancel()
             for holder in own - set(self._tasks):
                 self._tasks[holder] = self.scheduler.spawn("kv events", self._watch, holder)
             for holder in set(self.catalog.holders()) - holders:
                 self.catalog.forget(holder)
-            self.scheduler.sleep(CHECK_NS)
+            self.scheduler.sleep(HOLDER_CHECK_INTERVAL_NS)
 
     def _watcher(self, holder: str) -> str:
         seed = hash64(holder)
@@ -145,8 +153,8 @@
     def _publish(self, changes: Iterable[KeptParts]) -> None:
         for change in changes:
             self.catalog.apply(change)
-            self._own.append(change)
-            self._all.append(change)
+            self._own_changes.append(change)
+            self._all_changes.append(change)
 
     def _watch(self, holder: str) -> None:
         caller = Caller(self.scheduler, parse_address(holder))
@@ -157,24 +165,26 @@
             while True:
                 try:
                     cursor, lost = self._take_events(caller, holder, cursor)
-                    if lost and (listed_at is None or self.scheduler.now() - listed_at > LIST_NS):
+                    if lost and (
+                        listed_at is None or self.scheduler.now() - listed_at > MIN_LIST_INTERVAL_NS
+                    ):
                         listed_at = self.scheduler.now()
                         cursor = self._take_list(caller, holder)
                     failed = False
                 except (OSError, http.Malformed, http.Truncated, MalformedAnswer):
-                    if not failed:  # nothing is to be had there: it counts as empty until it answers
+                    if not failed:  # the holder counts as empty until it answers again
                         self._publish([KeptParts(holder, True, "", "")])
                         cursor = START_CURSOR
                     failed = True
-                    self.scheduler.sleep(PAUSE_NS)
+                    self.scheduler.sleep(RETRY_DELAY_NS)
         except Cancelled:
             caller.close()
             raise
 
     def _take_events(self, caller: Caller, holder: str, cursor: Cursor) -> tuple[Cursor, bool]:
-        """Ask for what changed since the cursor; the next one, and whether events were lost."""
+        """Fetch the changes since the cursor; return the next cursor and whether events were lost."""
         target = b"/kv-events?since=%d" % cursor.since
-        answer = parse_events(_call(caller, target, b"Wait-Ms: %d\r\n" % HOLD_MS))
+        answer = parse_events(_call(caller, target, b"Wait-Ms: %d\r\n" % LONG_POLL_MS))
         step = advance(cursor, answer)
         if step.restarted:
             self._publish([KeptParts(holder, True, "", "")])
@@ -182,7 +192,7 @@
         return step.cursor, answer.lost
 
     def _take_list(self, caller: Caller, holder: str) -> Cursor:
-        """All that the holder keeps: priced, and asked for only where events were lost, as after a start."""
+        """Fetch the holder's whole list; it is priced, so it is fetched only after lost events, as after a start."""
         answer = parse_list(_call(caller, b"/kv-list", b""))
         self._publish(changes_of_list(holder, answer.owned))
         return Cursor(answer.epoch, answer.next_token)
--- a/iristrack/controlplane/program.py
+++ b/iristrack/controlplane/program.py
@@ -1,4 +1,4 @@
-"""The control plane as a process: disk, peers, the operator's API, signals."""
+"""The control plane process: disk, peers, the operators' API and signals."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from iristrack.controlplane.register_host import RegisterHost
 from iristrack.controlplane.rollouts import RolloutsDuty
 from iristrack.controlplane.state_machine_runner import transfer_ns
-from iristrack.controlplane.status import PeerBook, status_document
+from iristrack.controlplane.status import PeerDirectory, status_document
 from iristrack.controlplane.weights import WeightsDuty
 from iristrack.engines.named_weights import NamedWeights
 from iristrack.register import Committed, RecoveryRetryPolicy
@@ -60,16 +60,17 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-LEARN_TICK_NS = 250 * NS_PER_MS
-FIRST_LEARN_TICK_NS = 20 * NS_PER_MS  # until a quorum is reached for the first time
-LEARN_TURN_NS = 60 * NS_PER_MS  # by which the members begin to read one after the other
-LEARN_NS = 800 * NS_PER_MS
-STOP_NS = 300 * NS_PER_MS  # between the end of the handing over and the end, for what is under way
-HAND_OVER_MARGIN_NS = 1500 * NS_PER_MS  # before the grace ends
-DISK_STOP_S = 1.0
-PROCESS_BITS = 48  # of the name that each start of the process draws
+LEARN_INTERVAL_NS = 250 * NS_PER_MS
+QUORUM_CHECK_INTERVAL_NS = 20 * NS_PER_MS  # until a quorum is reached for the first time
+LEARN_STAGGER_NS = 60 * NS_PER_MS  # delay between the first reads of one member and the next
+LEARN_TIMEOUT_NS = 800 * NS_PER_MS
+STOP_DELAY_NS = 300 * NS_PER_MS  # after the handover, for calls in flight
+HANDOVER_MARGIN_NS = 1500 * NS_PER_MS  # the handover ends this long before the grace period
+DISK_STOP_TIMEOUT_S = 1.0
+PROCESS_BITS = 48  # random bits in the process name, which is drawn at each start
 CORE_ROLE = "controlplane"
-REPEAT_SHARE = 1.5  # of `ack_ms`, for which an order that is not a configuration may be a repeat
+# The same roll-out order counts as a repeat for this multiple of `ack_ms`; configurations have a history instead.
+REPEAT_WINDOW_RATIO = 1.5
 VALUE_TYPES = {
     topics.CONFIGURATION: ConfigurationValue,
     topics.VERSIONS: VersionsValue,
@@ -82,16 +83,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldingServices:
-    """Who keeps parts of prompts, by one configuration: services whose servers do, and addresses of stores."""
+class PrefixHolders:
+    """The holders of prompt prefixes in one configuration: services whose servers cache them, and store addresses."""
 
-    sequence: int  # of the configuration
+    sequence: int  # sequence of the configuration
     engines: frozenset[str]
     stores: frozenset[str]
 
 
 class ControlPlane:
-    """All parts of one control plane process."""
+    """Owns and connects all parts of one control plane process."""
 
     def __init__(
         self,
@@ -100,7 +101,7 @@
         reload_settings: Callable[[], Settings | None],
         environment: Environment | None = None,
     ) -> None:
-        """Opens the disk; raises `store.acceptor_store.AcceptorStoreError` or `OSError` where it cannot be used."""
+        """Open the disk; raises `store.acceptor_store.AcceptorStoreError` or `OSError` if it cannot be used."""
         self.environment = environment or SystemEnvironment(lambda text: log.exception(text))
         self.settings = settings
         self.log = log
@@ -111,7 +112,7 @@
         opened = self.environment.open_acceptor_store(settings.data_dir, settings.node_name)
         for note in opened.notes:
             log.warning("disk", note=note)
-        self.sync = self.environment.make_sync(opened, self._disk_failed)
+        self.sync = self.environment.make_sync(opened, self._on_disk_failure)
         self.dialers = DialerSet(
             self.scheduler,
             self._hello,
@@ -135,21 +136,21 @@
         self.quorum = QuorumContact(self.register, self.dialers)
         self.distribution = Distribution(self.dialers.broadcast, self._announcement)
         self.load_hub = LoadHub(self.scheduler, settings.node_name, self.dialers.broadcast)
-        self.kept = PrefixCacheWatch(self.scheduler, self.address, self._holders, self._connected)
+        self.prefix_cache = PrefixCacheWatch(self.scheduler, self.address, self._holders, self._connected)
         self.key_leases = KeyLeases(self.register, self._send)
         self.named_weights = NamedWeights()
         self.heartbeats = 0
-        self.peer_book = PeerBook()
-        self._core: set[PeerConnection] = set()  # accepted connections whose other ends are core members
-        self._holders_of = HoldingServices(-1, frozenset(), frozenset())
-        self._learned: dict[str, tuple] = {}  # key: the accepted ballot that was last seen committed
+        self.peer_directory = PeerDirectory()
+        self._core_connections: set[PeerConnection] = set()  # accepted connections from core members
+        self._prefix_holders = PrefixHolders(-1, frozenset(), frozenset())
+        self._learned: dict[str, tuple] = {}  # by key: the accepted ballot last seen committed
         self.weights: WeightsDuty | None = None
         self._stopping = False
 
-    # ---- life
+    # ---- start and stop
 
     def start(self) -> None:
-        """Listen and dial; raises `OSError` where an address cannot be had."""
+        """Listen and dial; raises `OSError` if an address is not available."""
         settings = self.settings
         inner = (settings.ip, settings.port_range.first)
         self.environment.listen_for_peers(
@@ -162,9 +163,9 @@
             self.register,
             self.distribution.publish,
             lambda servers: status_document(self, servers),
-            self.quorum.holds,
+            self.quorum.has_quorum,
             self.log,
-            int(REPEAT_SHARE * settings.rule_bounds.ack_ms),
+            int(REPEAT_WINDOW_RATIO * settings.rule_bounds.ack_ms),
             lambda: self.rollouts.age_ms(),
         )
         bind = settings.bind.control_plane
@@ -193,26 +194,26 @@
         self.distribution.on_learned.append(self.weights.on_update)
         self.distribution.on_learned.append(self.rollouts.on_update)
         self.distribution.on_learned.append(self._on_learned)
-        self.distribution.on_learned.append(self._note_named_weights)
+        self.distribution.on_learned.append(self._record_named_weights)
         if self.register.founded:
-            self._tell_members()
+            self._on_member_set_changed()
         elif self.register.voting or self._is_founder:
             seeds = self.register.members or tuple(sorted(self._seeds()))
-            Founding(self.scheduler, self.register, seeds, self._reporting_core, self._tell_members)
-        self._follow_members()
+            Founding(self.scheduler, self.register, seeds, self._reporting_core, self._on_member_set_changed)
+        self._dial_members()
         self.member_changes = MemberChanges(
             self.scheduler,
             self.register,
             self._connected,
             self._reporting_core,
-            self.quorum.holds,
+            self.quorum.has_quorum,
             self._publish_members,
             self.log,
             settings.bootstrap,
             2 * settings.fault_tolerance.machine_losses + 1,
         )
         ListPoller(
-            self.scheduler, settings.provider_api, self.distribution, self._is_first, self.quorum.holds
+            self.scheduler, settings.provider_api, self.distribution, self._is_first, self.quorum.has_quorum
         )
         self.scheduler.spawn("learner", self._learn_loop)
 
@@ -222,31 +223,31 @@
         gc.collect()
         gc.freeze()
         self.scheduler.run()
-        self.sync.stop(DISK_STOP_S)
+        self.sync.stop(DISK_STOP_TIMEOUT_S)
 
     def _on_signals(self, numbers: bytes) -> None:
         if signal.SIGHUP in numbers:
-            fresh = self.reload_settings()
-            if fresh is not None:
-                self.settings = fresh
-                self._follow_members()
+            reloaded = self.reload_settings()
+            if reloaded is not None:
+                self.settings = reloaded
+                self._dial_members()
         if signal.SIGTERM in numbers or signal.SIGINT in numbers:
             self.stop()
 
     def stop(self) -> None:
-        """Take no more calls, hand the place in the member set over, and end."""
+        """Accept no more calls, hand over the place in the member set, and end the process."""
         if not self._stopping:
             self._stopping = True
             self.log.info("stopping")
             self._stop_serving()
             grace_ns = int(self.settings.rule_bounds.grace_s * NS_PER_S)
-            self.member_changes.hand_over(self.scheduler.now() + grace_ns - HAND_OVER_MARGIN_NS, self._end)
+            self.member_changes.hand_over(self.scheduler.now() + grace_ns - HANDOVER_MARGIN_NS, self._end)
 
     def _end(self) -> None:
-        """The place in the member set is handed over, or there is nobody to take it."""
-        self.scheduler.call_at(self.scheduler.now() + STOP_NS, self.scheduler.stop)
+        """End the process, after the place was handed over or no machine could take it."""
+        self.scheduler.call_at(self.scheduler.now() + STOP_DELAY_NS, self.scheduler.stop)
 
-    def _disk_failed(self, failure: Exception) -> None:
+    def _on_disk_failure(self, failure: Exception) -> None:
         self.log.error("disk failed", reason=str(failure))
 
     # ---- members
@@ -255,30 +256,30 @@
         port = self.settings.port_range.first
         return {f"{seed.host}:{port}" for seed in self.settings.seed_nodes}
 
-    def _follow_members(self) -> None:
+    def _dial_members(self) -> None:
         members = self.register.member_set
         wanted = {*members.members, members.leaving} - {""} or self._seeds()
         self.dialers.follow(wanted - {self.address})
 
     def _is_first(self) -> bool:
-        """Is this the first of the members that it is connected with, and in a quorum with them?"""
-        return self.quorum.holds() and min(self._connected(), default="") == self.address
+        """Tell whether this process is in a quorum and is the first of its connected members."""
+        return self.quorum.has_quorum() and min(self._connected(), default="") == self.address
 
     def _connected(self) -> list[str]:
-        """The members that this process is connected with, itself among them where it is one."""
+        """Return the connected members, including this process if it is a member."""
         others = [address for address, dialer in self.dialers.dialers.items() if dialer.connected]
         if self.register.members and not self.register.is_member:
             return others
         return [self.address, *others]
 
     def _holders(self) -> set[str]:
-        """Addresses of all that keep parts of prompts: servers with an engine, and stores."""
+        """Return the addresses of all holders of prompt prefixes: servers with an engine, and stores."""
         update = self.distribution.topics.get(topics.CONFIGURATION)
         if update is None:
             return set()
-        if update.sequence != self._holders_of.sequence:
-            self._holders_of = _holding_services(update, self._holders_of)
-        engines, stores = self._holders_of.engines, self._holders_of.stores
+        if update.sequence != self._prefix_holders.sequence:
+            self._prefix_holders = _read_prefix_holders(update, self._prefix_holders)
+        engines, stores = self._prefix_holders.engines, self._prefix_holders.stores
         servers = self.weights.servers if self.weights is not None else []
         return stores | {server.address for server in servers if server.service in engines}
 
@@ -287,28 +288,28 @@
         return self.settings.bootstrap and self.address in self._seeds()
 
     def _reporting_core(self) -> dict[str, str]:
-        """The names of the disks of all core machines that have said something lately, by their addresses."""
-        least = self.scheduler.now() - RECENT_CONTACT_NS
+        """Return the disk names of all core machines that were heard from recently, by address."""
+        oldest = self.scheduler.now() - RECENT_CONTACT_NS
         return {
             hello.address: hello.disk
-            for connection, hello in self.peer_book.open()
-            if hello.role == CORE_ROLE and connection.heard_at >= least
+            for connection, hello in self.peer_directory.connected()
+            if hello.role == CORE_ROLE and connection.heard_at >= oldest
         }
 
     def _publish_members(self, members: MembersValue) -> None:
         self.distribution.publish(Update(topics.MEMBERS, members.sequence, encode_value(members)))
 
-    def _tell_members(self) -> None:
+    def _on_member_set_changed(self) -> None:
         self._publish_members(self.register.member_set)
-        self._follow_members()
+        self._dial_members()
 
     def _on_learned(self, update: Update) -> None:
-        told = decode_value(update.value, MembersValue) if update.topic == topics.MEMBERS else None
-        if told is None:
+        decoded = decode_value(update.value, MembersValue) if update.topic == topics.MEMBERS else None
+        if decoded is None:
             return
         first_start = self.settings.bootstrap and not self._is_founder
-        self.register.follow(told, first_start, self._tell_members)
-        self._follow_members()
+        self.register.follow(decoded, first_start, self._on_member_set_changed)
+        self._dial_members()
 
     # ---- peers
 
@@ -327,19 +328,19 @@
 
     def _heartbeat(self) -> Heartbeat:
         self.heartbeats += 1
-        return self._tell(self.distribution.topics.versions())
+        return self._make_heartbeat(self.distribution.topics.versions())
 
     def _announcement(self, update: Update) -> Heartbeat:
-        """The version of one topic that has just changed."""
-        return self._tell((Version(update.topic, update.sequence),))
+        """Return a heartbeat with only the version of the topic that has changed."""
+        return self._make_heartbeat((Version(update.topic, update.sequence),))
 
-    def _tell(self, known: tuple[Version, ...]) -> Heartbeat:
+    def _make_heartbeat(self, known: tuple[Version, ...]) -> Heartbeat:
         return Heartbeat(
             self.settings.node_name,
             self.process,
             self.heartbeats,
             known,
-            self.quorum.holds(),
+            self.quorum.has_quorum(),
             self.named_weights.ages(self.scheduler.now()),
         )
 
@@ -349,21 +350,21 @@
     def _on_dialed(self, connection: PeerConnection) -> None:
         connection.send(Subscribe(self.distribution.topics.versions()))
         connection.send(KeptSubscribe(own_only=True))
-        self.load_hub.member_joined()
+        self.load_hub.on_member_dialed()
 
     def _on_message(self, connection: PeerConnection, message: Message) -> None:
         if isinstance(message, Prepare | Accept | Promise | Accepted):
             self.register.handle(message, connection.send)
         elif isinstance(message, Update):
-            self.distribution.hear(message)
+            self.distribution.receive(message)
         elif isinstance(message, Subscribe):
-            self.distribution.subscribe(connection, message, member=connection in self._core)
+            self.distribution.subscribe(connection, message, member=connection in self._core_connections)
         elif isinstance(message, Heartbeat):
             self._on_heartbeat(connection, message)
         elif isinstance(message, ServerLoads):
             self._on_loads(connection, message)
         elif isinstance(message, RolloutEvidence):
-            self.rollouts.take_evidence(message)
+            self.rollouts.on_evidence(message)
         elif isinstance(message, KeyLeaseRequest):
             self.key_leases.request(connection, message)
         elif isinstance(message, NewestQuery):
@@ -371,26 +372,26 @@
             if answer is not None:
                 connection.send(answer)
         elif isinstance(message, NewestAnswer):
-            self.key_leases.heard(message)
+            self.key_leases.handle_answer(message)
         elif isinstance(message, KeptBatch):
-            self.kept.from_member(message)
+            self.prefix_cache.on_member_batch(message)
         elif isinstance(message, KeptSubscribe):
-            self.kept.subscribe(connection, message)
+            self.prefix_cache.subscribe(connection, message)
         elif isinstance(message, Hello):
-            self.peer_book.met(connection, message)
+            self.peer_directory.record_hello(connection, message)
             if message.role == CORE_ROLE:
                 self._on_core_hello(connection, message)
 
     def _on_core_hello(self, connection: PeerConnection, message: Hello) -> None:
-        self._core = {c for c in self._core if not c.closed} | {connection}
+        self._core_connections = {c for c in self._core_connections if not c.closed} | {connection}
         if message.incarnation:
             self.register.identity.incarnations[message.address] = message.incarnation
 
     def _on_loads(self, connection: PeerConnection, message: ServerLoads) -> None:
-        if connection in self._core:
-            self.load_hub.from_member(message)
+        if connection in self._core_connections:
+            self.load_hub.on_member_loads(message)
         else:
-            self.load_hub.from_sidecar(connection, message)
+            self.load_hub.on_sidecar_loads(connection, message)
 
     def _on_heartbeat(self, connection: PeerConnection, message: Heartbeat) -> None:
         self.named_weights.learn_ages(message.named, self.scheduler.now())
@@ -398,48 +399,48 @@
             self.distribution.on_heartbeat(connection, message)
             connection.send(self._heartbeat())
 
-    # ---- weights that were named
+    # ---- named weights
 
-    def _note_named_weights(self, update: Update) -> None:
-        told = decode_value(update.value, VersionsValue) if update.topic == topics.VERSIONS else None
-        for version in told.versions if told is not None else ():
+    def _record_named_weights(self, update: Update) -> None:
+        decoded = decode_value(update.value, VersionsValue) if update.topic == topics.VERSIONS else None
+        for version in decoded.versions if decoded is not None else ():
             self.named_weights.learn(version.model, version.revision, self.scheduler.now())
 
     def _named(self) -> dict[str, int]:
         update = self.distribution.topics.get(topics.VERSIONS)
-        told = decode_value(update.value, VersionsValue) if update is not None else None
-        return {} if told is None else {v.model: v.revision for v in told.versions}
+        decoded = decode_value(update.value, VersionsValue) if update is not None else None
+        return {} if decoded is None else {v.model: v.revision for v in decoded.versions}
 
-    # ---- what was committed without this process being told
+    # ---- reading of values committed elsewhere
 
     def _learn_loop(self) -> None:
-        """Read each register whose accepted value here is not the one that was last told as committed.
+        """Read each register whose accepted value here is not known to be committed.
 
-        At the start the first of the connected members reads at once, so that sidecars soon hear of what stands; the
-        others begin a little later each, and read only what they were not told of by then.
+        At the start the first of the connected members reads at once, so that sidecars soon get the current values.
+        Each of the others starts a little later than the one before, and reads only what was not published by then.
         """
-        while not self.quorum.holds():
-            self.scheduler.sleep(FIRST_LEARN_TICK_NS)
+        while not self.quorum.has_quorum():
+            self.scheduler.sleep(QUORUM_CHECK_INTERVAL_NS)
         earlier = sum(address < self.address for address in self._connected())
-        self.scheduler.sleep(earlier * LEARN_TURN_NS)
+        self.scheduler.sleep(earlier * LEARN_STAGGER_NS)
         while True:
             for key in topics.REGISTERS:
-                if key != topics.MEMBERS and self._is_unlearned(key):
+                if key != topics.MEMBERS and self._needs_learning(key):
                     self._learn(key)
-            self.scheduler.sleep(LEARN_TICK_NS)
+            self.scheduler.sleep(LEARN_INTERVAL_NS)
 
-    def _is_unlearned(self, key: str) -> bool:
+    def _needs_learning(self, key: str) -> bool:
         if not self.register.voting:
             return False
-        cell = self.register.acceptor.state(key)
-        if not cell.value:
+        state = self.register.acceptor.state(key)
+        if not state.value:
             return key not in self._learned
         update = self.distribution.topics.get(topics.topic_of(key))
-        value = decode_value(cell.value, VALUE_TYPES[key])
+        value = decode_value(state.value, VALUE_TYPES[key])
         return value is not None and (update is None or update.sequence < value.sequence)
 
     def _learn(self, key: str) -> None:
-        deadline = self.scheduler.now() + LEARN_NS + transfer_ns(self.register.value_size(key))
+        deadline = self.scheduler.now() + LEARN_TIMEOUT_NS + transfer_ns(self.register.value_size(key))
         result = self.register.change(key, changes.unchanged, deadline)
         if not isinstance(result, Committed):
             return
@@ -447,19 +448,19 @@
         value = decode_value(result.value, VALUE_TYPES[key])
         if value is not None:
             is_configuration = key == topics.CONFIGURATION
-            told = changes.relayed_configuration(value) if is_configuration else result.value
-            self.distribution.publish(Update(topics.topic_of(key), value.sequence, told))
+            relayed = changes.relayed_configuration(value) if is_configuration else result.value
+            self.distribution.publish(Update(topics.topic_of(key), value.sequence, relayed))
 
 
-def _holding_services(update: Update, known: HoldingServices) -> HoldingServices:
-    """Read what a configuration says of them, unless it differs from the known one in other things alone."""
-    told = decode_value(update.value, ConfigurationValue)
-    if told is None or not told.body:
-        return HoldingServices(update.sequence, frozenset(), frozenset())
-    follows = told.amendment and told.sequence == known.sequence + 1
-    if follows and not parse_amendment(told.amendment).touches(SERVICES):
+def _read_prefix_holders(update: Update, known: PrefixHolders) -> PrefixHolders:
+    """Read the holders from a configuration; reuse the known ones if only other parts of it changed."""
+    decoded = decode_value(update.value, ConfigurationValue)
+    if decoded is None or not decoded.body:
+        return PrefixHolders(update.sequence, frozenset(), frozenset())
+    follows = decoded.amendment and decoded.sequence == known.sequence + 1
+    if follows and not parse_amendment(decoded.amendment).touches(SERVICES):
         return replace(known, sequence=update.sequence)
-    services = parse_services(told.body)
+    services = parse_services(decoded.body)
     engines = frozenset(service.label for service in services if service.engine is not None)
     stores = frozenset(service.store.address for service in services if service.store is not None)
-    return HoldingServices(update.sequence, engines, stores)
+    return PrefixHolders(update.sequence, engines, stores)
--- a/iristrack/controlplane/register_host.py
+++ b/iristrack/controlplane/register_host.py
@@ -1,8 +1,8 @@
-"""Runs the register's state machines: messages to and from peers, durable records before replies.
+"""Hosts the register's acceptor and proposers: exchanges messages with peers and syncs records before replies.
 
-Where the disk refuses a record the acceptor votes no more, and no reply that rests on that record, or on one behind it,
-is released. Once the disk takes records again it votes from what was on the disk before: nobody has been told more.
-That is what a crash at this moment and a restart would give.
+If the disk refuses a record, the acceptor stops voting, and no reply that depends on it or on a later record is sent.
+Once the disk accepts records again, the acceptor votes from the state that was on the disk before, since no peer was
+told of anything newer. This is equivalent to a crash at that moment and a restart.
 """
 
 from __future__ import annotations
@@ -55,18 +55,18 @@
 MEMBERS_BLOB = "members"
 DISK_BLOB = "disk"  # the disk's name
 DISK_BITS = 64
-PROPOSER_BITS = 48  # of a process's name as a proposer,
-INCARNATION_BITS = 64  # and of an acceptor's incarnation
-DISK_RETRY_NS = 500_000_000  # between two tries of a disk that refused a record
-FIRST_CALL_BITS = 48  # call numbers begin anywhere: one process's are not taken for another's
-ATTEMPTS = 3  # an attempt of a change gets this part of the change's time,
+PROPOSER_BITS = 48  # random bits in a process's proposer name
+INCARNATION_BITS = 64  # random bits in an acceptor's incarnation
+DISK_RETRY_NS = 500_000_000  # delay before a disk that refused a record is tried again
+CALL_NUMBER_BITS = 48  # call numbers start at random, so that those of two processes are not confused
+ATTEMPTS_PER_CHANGE = 3  # the time of a change is divided by this to give the timeout of one attempt
 NO_MEMBERS = MembersValue(UNFOUNDED)
 Reply = Callable[[Message], None]
 SendToMember = Callable[[str, Message], None]
 
 
 class RegisterHost:
-    """One core member's acceptor and the proposers of this process."""
+    """The acceptor of one core member and the proposers of its process."""
 
     def __init__(
         self,
@@ -79,12 +79,13 @@
         log,
         rng: random.Random | None = None,
         moved_bytes: Callable[[], int] = lambda: 0,
-        recovery_pace: RecoveryRetryPolicy | None = None,
+        recovery_policy: RecoveryRetryPolicy | None = None,
     ) -> None:
-        """`name` is this process's inner address, by which the member set names it.
+        """Restore the acceptor from the records in `opened`, if there is one to restore.
 
-        `rng` gives waits, and names that must differ from all that were ever drawn; by default the system's.
-        `moved_bytes` counts the bytes that were written to the other members and read from them.
+        `name` is this process's inner address, by which the member set names it. `rng` draws waits, and names that must
+        be globally unique; the default is the system's. `moved_bytes` counts the bytes written to and read from the
+        other members.
         """
         self.rng = rng or random.SystemRandom()
         self.scheduler = scheduler
@@ -93,34 +94,30 @@
         self.send = send
         self.keys = keys
         self.log = log
-        self._recovery_pace = recovery_pace
+        self._recovery_policy = recovery_policy
         proposer = f"{name}/{self.rng.getrandbits(PROPOSER_BITS):012x}"
-        self.identity = ProposerIdentity(proposer, self.rng.getrandbits(FIRST_CALL_BITS))
+        self.identity = ProposerIdentity(proposer, self.rng.getrandbits(CALL_NUMBER_BITS))
         self.member_set = decode_value(opened.blobs.get(MEMBERS_BLOB, b""), MembersValue) or NO_MEMBERS
         self.acceptor: Acceptor | None = None
         self.runner = StateMachineRunner(scheduler, self._send, self.value_size, moved_bytes)
         self._opened = opened
         self._recovery: RunningRecovery | None = None
         self._forming = False
-        self._left: Acceptor | None = (
-            None  # of this process as it was replaced, for its successor to read from
-        )
-        self._when_voting_again: Callable[[], None] = lambda: None  # once the disk takes records again
-        self._accepted_sequence = (NO_BALLOT, 0)  # of the configuration: its ballot and sequence
-        self._on_disk: dict[
-            str, RegisterState
-        ] = {}  # the cells as they are on the disk, of a voting acceptor
+        self._retired_acceptor: Acceptor | None = None  # kept for the successor to read from
+        self._on_voting_again: Callable[[], None] = lambda: None  # called once the disk accepts records again
+        self._accepted_sequence = (NO_BALLOT, 0)  # ballot and sequence of the accepted configuration
+        self._on_disk: dict[str, RegisterState] = {}  # synced register states of the voting acceptor
         if self.member_set.members and opened.identity is not None and opened.identity.incarnation:
-            cells = {
+            registers = {
                 key: RegisterState(r.promised, r.accepted, r.value) for key, r in opened.registers.items()
             }
-            self.acceptor = self._make_acceptor(opened.identity.incarnation, cells)
+            self.acceptor = self._make_acceptor(opened.identity.incarnation, registers)
         self.disk = opened.blobs.get(DISK_BLOB, b"").decode() or self._name_disk()
 
     def _name_disk(self) -> str:
-        """Draw the name of this disk, and have it there before an acceptor votes from it.
+        """Draw the name of this disk, and write it before an acceptor votes from the disk.
 
-        It may be told before it is synced: if it is lost, so is whatever a later vote would have left there.
+        The name may be announced before it is synced: if it is lost, so is anything that a later vote has written.
         """
         name = f"{self.rng.getrandbits(DISK_BITS):016x}"
         if self.acceptor is None:
@@ -128,11 +125,11 @@
             self.sync.submit(records, lambda ok: None)
         return name
 
-    def _make_acceptor(self, incarnation: str, cells: dict[str, RegisterState]) -> Acceptor:
-        self._on_disk = dict(cells)
+    def _make_acceptor(self, incarnation: str, registers: dict[str, RegisterState]) -> Acceptor:
+        self._on_disk = dict(registers)
         self._disk_incarnation = incarnation
         sequence = self.member_set.sequence
-        return Acceptor(self.name, incarnation, cells, True, keys=self.keys, member_sequence=sequence)
+        return Acceptor(self.name, incarnation, registers, True, keys=self.keys, member_sequence=sequence)
 
     @property
     def members(self) -> tuple[str, ...]:
@@ -141,78 +138,79 @@
 
     @property
     def founded(self) -> bool:
-        """Is the member set one that was agreed on?"""
+        """Whether the member set was agreed on."""
         return self.member_set.sequence >= FOUNDED
 
     @property
     def is_member(self) -> bool:
-        """Does the newest known set name this process?"""
+        """Whether the newest known set contains this process."""
         return self.name in self.member_set.members
 
     @property
     def voting(self) -> bool:
-        """Does this process vote?"""
+        """Whether this process votes."""
         return self.acceptor is not None and self.acceptor.voting
 
     @property
     def recovering(self) -> bool:
-        """Does it read from the others what its lost disk held?"""
+        """Whether this process is reading from the others the state that its own disk lacks."""
         return self._recovery is not None
 
     @property
     def incarnation(self) -> str:
-        """What this process's acceptor tells of itself; empty while it has none."""
+        """The incarnation of this process's acceptor; empty while there is no acceptor."""
         return "" if self.acceptor is None else self.acceptor.incarnation
 
     def value_size(self, key: str) -> int:
-        """How long the value is that this process's acceptor holds of a register (bytes)."""
+        """Return the length (bytes) of the value of a register at this process's acceptor."""
         return 0 if self.acceptor is None else len(self.acceptor.state(key).value)
 
     def accepted_configuration(self, member_sequence: int) -> int | None:
-        """The sequence of the configuration that this process has accepted, 0 before the first one.
+        """Return the sequence of the configuration that this process has accepted; 0 before the first one.
 
-        None where its acceptor does not vote in that member set.
+        Return None if its acceptor does not vote in that member set.
         """
-        cell = (
+        state = (
             None if self.acceptor is None else self.acceptor.accepted(topics.CONFIGURATION, member_sequence)
         )
-        if cell is None:
+        if state is None:
             return None
-        if self._accepted_sequence[0] != cell.accepted:
-            value = decode_value(cell.value, ConfigurationValue)
-            self._accepted_sequence = (cell.accepted, 0 if value is None else value.sequence)
+        if self._accepted_sequence[0] != state.accepted:
+            value = decode_value(state.value, ConfigurationValue)
+            self._accepted_sequence = (state.accepted, 0 if value is None else value.sequence)
         return self._accepted_sequence[1]
 
-    # ---- how an acceptor comes to vote, and ceases to
+    # ---- start and end of voting
 
     def form(self, members: tuple[str, ...]) -> None:
-        """The first start of the whole system: this is one of the seeds, which vote on the member set first."""
+        """Start voting as a seed at the first start of the whole system; the seeds vote on the member set first."""
         self._begin(MembersValue(UNFOUNDED, members), self._draw_incarnation(), (), lambda: None)
 
-    def follow(self, told: MembersValue, first_start: bool, on_done: Callable[[], None]) -> None:
-        """Go by a newer member set; `on_done` is called where its members vote here, and where it names others alone.
+    def follow(self, new_set: MembersValue, first_start: bool, on_done: Callable[[], None]) -> None:
+        """Switch to a newer member set.
 
-        `first_start`: this machine has never voted, as the whole system starts for the first time.
+        `on_done` is called once this process votes in the set, or at once if the set does not contain it. `first_start`
+        says that this machine has never voted because the whole system starts for the first time.
         """
         waits = self._is_idle and self.is_member
-        if told.sequence < self.member_set.sequence or (
-            told.sequence == self.member_set.sequence and not waits
+        if new_set.sequence < self.member_set.sequence or (
+            new_set.sequence == self.member_set.sequence and not waits
         ):
             return
-        if self.name not in told.members:
-            self._retire(told)
+        if self.name not in new_set.members:
+            self._retire(new_set)
             on_done()
-        elif told.joining == self.name:
-            self._retire(told)
+        elif new_set.joining == self.name:
+            self._retire(new_set)
             self._recover(on_done)
         elif self.voting:
-            self._vote_under(told, on_done)
+            self._adopt(new_set, on_done)
         elif self.acceptor is not None:
-            self._vote_under_later(told, on_done)
-        elif first_start and told.sequence == FOUNDED:
-            self._begin(told, self._draw_incarnation(), (), on_done)
+            self._adopt_later(new_set, on_done)
+        elif first_start and new_set.sequence == FOUNDED:
+            self._begin(new_set, self._draw_incarnation(), (), on_done)
         else:
-            self.member_set = told
+            self.member_set = new_set
             self._recover(on_done)
         self.runner.use(self.member_set)
 
@@ -221,45 +219,45 @@
 
     @property
     def _is_idle(self) -> bool:
-        """Does it neither vote nor come to vote, and not wait for its disk either?"""
+        """Whether this process neither votes, nor prepares to vote, nor waits for its disk."""
         return self.acceptor is None and self._recovery is None and not self._forming
 
-    def _vote_under(self, told: MembersValue, on_done: Callable[[], None]) -> None:
-        """Answer messages of this set alone, from the next one on; replies wait for its record like all others."""
-        self.member_set = told
-        self.acceptor.member_sequence = told.sequence
+    def _adopt(self, new_set: MembersValue, on_done: Callable[[], None]) -> None:
+        """Answer only messages of this set from now on; replies wait for its record, like any other record."""
+        self.member_set = new_set
+        self.acceptor.member_sequence = new_set.sequence
 
         def written(ok: bool) -> None:
             if ok:
-                event = "founded" if told.sequence == FOUNDED else "member set"
-                self.log.info(event, sequence=told.sequence, members=",".join(told.members))
+                event = "founded" if new_set.sequence == FOUNDED else "member set"
+                self.log.info(event, sequence=new_set.sequence, members=",".join(new_set.members))
                 on_done()
             elif self.voting:
-                self._stop_voting(on_done)
+                self._suspend_voting(on_done)
             elif self.acceptor is not None:
-                self._when_voting_again = on_done
+                self._on_voting_again = on_done
 
-        self.sync.submit([BlobRecord(MEMBERS_BLOB, encode_value(told))], written)
+        self.sync.submit([BlobRecord(MEMBERS_BLOB, encode_value(new_set))], written)
 
-    def _vote_under_later(self, told: MembersValue, on_done: Callable[[], None]) -> None:
-        """Go by this set as soon as the disk takes records again: what it holds is not lost, others may need it."""
-        self.member_set = told
-        self._when_voting_again = on_done
+    def _adopt_later(self, new_set: MembersValue, on_done: Callable[[], None]) -> None:
+        """Switch to this set once the disk accepts records again: its content is intact and others may need it."""
+        self.member_set = new_set
+        self._on_voting_again = on_done
 
-    def _stop_voting(self, on_done: Callable[[], None] = lambda: None) -> None:
-        """The disk refused a record; `on_done` is called once it takes records and this process votes again."""
+    def _suspend_voting(self, on_done: Callable[[], None] = lambda: None) -> None:
+        """Stop voting because the disk refused a record; `on_done` is called once this process votes again."""
         self.acceptor.write_failed()
         self.log.error("no vote for now: the disk refused a record")
-        self._when_voting_again = on_done
+        self._on_voting_again = on_done
         self._schedule_disk_retry(self.acceptor)
 
     def _schedule_disk_retry(self, stopped: Acceptor) -> None:
         self.scheduler.call_at(self.scheduler.now() + DISK_RETRY_NS, self._retry_disk, stopped)
 
     def _retry_disk(self, stopped: Acceptor) -> None:
-        """Vote again, from what is on the disk, if that takes the identity and the member set now."""
+        """Resume voting from the state on the disk, if the disk now accepts the identity and the member set."""
         if self.acceptor is not stopped:
-            return  # it was retired meanwhile, or has recovered from the others
+            return  # retired in the meantime, or recovered from the others
         members = self.member_set
 
         def written(ok: bool) -> None:
@@ -270,32 +268,32 @@
                 return
             self.acceptor = self._make_acceptor(self._disk_incarnation, self._on_disk)
             self.log.info("voting again", incarnation=self.acceptor.incarnation)
-            self._when_voting_again()
+            self._on_voting_again()
 
         identity = IdentityRecord(self._disk_incarnation, self.sync_node)
         self.sync.submit([identity, BlobRecord(MEMBERS_BLOB, encode_value(members))], written)
 
-    def _retire(self, told: MembersValue) -> None:
-        """Vote no more, also after a restart, until this process is let in again and has recovered.
+    def _retire(self, new_set: MembersValue) -> None:
+        """Stop voting, also after a restart, until this process is admitted again and has recovered.
 
-        A newcomer that takes its place may read from it while it is there (`register/member_set.py`): no member of the
-        new set asks it for anything else.
+        The newcomer that takes its place may read from it while it is running (`register/member_set.py`). Members of
+        the new set ask it for nothing else.
         """
         self._stop_recovery()
         retiring = self.acceptor
-        self.member_set = told
-        self.acceptor = self._left = None
+        self.member_set = new_set
+        self.acceptor = self._retired_acceptor = None
         if retiring is None:
             return
-        if retiring.voting and told.leaving == self.name:
-            self._left = retiring
-            self._left.serve_successor(told.sequence, told.joining_disk)
-        self.log.info("retired", sequence=told.sequence, members=",".join(told.members))
-        records = [IdentityRecord("", self.sync_node), BlobRecord(MEMBERS_BLOB, encode_value(told))]
+        if retiring.voting and new_set.leaving == self.name:
+            self._retired_acceptor = retiring
+            self._retired_acceptor.serve_successor(new_set.sequence, new_set.joining_disk)
+        self.log.info("retired", sequence=new_set.sequence, members=",".join(new_set.members))
+        records = [IdentityRecord("", self.sync_node), BlobRecord(MEMBERS_BLOB, encode_value(new_set))]
         self.sync.submit(records, lambda ok: None)
 
     def _recover(self, on_done: Callable[[], None]) -> None:
-        """Read from the others what this disk does not hold, then vote under a new incarnation."""
+        """Read the state that this disk lacks from the others, then vote under a new incarnation."""
         if self._forming:
             return
         self._stop_recovery()
@@ -303,10 +301,10 @@
         incarnation = self._draw_incarnation()
         try:
             state_machine = Recovery(
-                self.name, self.identity, members, self.keys, self.rng, self._recovery_pace, disk=self.disk
+                self.name, self.identity, members, self.keys, self.rng, self._recovery_policy, disk=self.disk
             )
-        except ValueError as fault:
-            self.log.error("no recovery", reason=str(fault))
+        except ValueError as error:
+            self.log.error("no recovery", reason=str(error))
             return
 
         def finished(recovered: Recovered) -> None:
@@ -343,13 +341,13 @@
                 self._recover(on_done)
             elif members.sequence >= self.member_set.sequence:
                 self.member_set = members
-                self.acceptor = self._make_acceptor(incarnation, cells)
+                self.acceptor = self._make_acceptor(incarnation, registers)
                 self.identity.incarnations[self.name] = self.acceptor.incarnation
                 self.log.info("voting", incarnation=incarnation, members=",".join(members.members))
                 on_done()
 
-        cells = {r.key: RegisterState(r.promised, r.accepted, r.value) for r in records}
-        # The identity is the last: after a loss of power while this is written it must not stand without the cells.
+        registers = {r.key: RegisterState(r.promised, r.accepted, r.value) for r in records}
+        # The identity comes last: after a power loss during this write it must not stand without the registers.
         self.sync.submit([blob, *records, identity], written)
 
     def _begin_again(
@@ -359,7 +357,7 @@
         records: tuple[RegisterRecord, ...],
         on_done: Callable[[], None],
     ) -> None:
-        """The disk refused the first records a while ago."""
+        """Retry after the disk refused the first records."""
         if not self._is_idle:
             return
         if self.member_set.sequence <= members.sequence:
@@ -369,15 +367,15 @@
 
     @property
     def sync_node(self) -> str:
-        """The node name under which the folder is kept."""
+        """The node name that the data folder belongs to."""
         return self._opened.store.node
 
     # ---- messages
 
     def handle(self, message: Message, reply: Reply) -> None:
-        """Take a message of the register; replies to requests are released when their records are synced.
+        """Handle a message of the register; replies are sent once their records are synced.
 
-        Whoever goes by an older member set is told of the newer one.
+        A sender with an older member set is sent the newer one.
         """
         if message.members < self.member_set.sequence:
             newest = Update(topics.MEMBERS, self.member_set.sequence, encode_value(self.member_set))
@@ -393,19 +391,19 @@
             self.runner.dispatch(message)
 
     def _vote(self, decide: Callable[[Acceptor], Outcome], reply: Reply) -> None:
-        acceptor = self.acceptor or self._left
+        acceptor = self.acceptor or self._retired_acceptor
         if acceptor is None or not acceptor.voting:
             return
         outcome = decide(acceptor)
         records = [] if outcome.record is None else [outcome.record]
 
         def written(ok: bool) -> None:
-            if acceptor not in (self.acceptor, self._left) or not acceptor.voting:
+            if acceptor not in (self.acceptor, self._retired_acceptor) or not acceptor.voting:
                 return
             if not ok:
-                self._left = None
+                self._retired_acceptor = None
                 if acceptor is self.acceptor:
-                    self._stop_voting()
+                    self._suspend_voting()
                 return
             if outcome.record is not None:
                 record = outcome.record
@@ -417,13 +415,15 @@
     # ---- changes
 
     def change(
-        self, key: str, change: Change, deadline: int, pace: RetryPolicy | None = None
+        self, key: str, change: Change, deadline: int, retry_policy: RetryPolicy | None = None
     ) -> ProposerResult:
-        """Change a register from a task of the loop; returns when it has ended, at `deadline` (ns) at the latest."""
+        """Change a register from a task of the loop; return when it has ended, at `deadline` (ns) at the latest."""
         if not self.members or not (self.founded or key == topics.MEMBERS):
             return Unavailable(in_doubt=False)
-        if pace is None:
-            pace = RetryPolicy(max(MIN_ATTEMPT_NS, (deadline - self.scheduler.now()) // ATTEMPTS))
+        if retry_policy is None:
+            retry_policy = RetryPolicy(
+                max(MIN_ATTEMPT_NS, (deadline - self.scheduler.now()) // ATTEMPTS_PER_CHANGE)
+            )
         proposer = Proposer(
             self.identity,
             key,
@@ -431,31 +431,31 @@
             change,
             self.rng,
             deadline,
-            pace,
+            retry_policy,
             read_local=lambda: EMPTY_STATE if self.acceptor is None else self.acceptor.state(key),
         )
         return self.runner.run(proposer)
 
     def _send(self, member: str, message: Prepare | Accept) -> None:
         if member == self.name:
-            # In a turn of its own: a decider must not be given an answer while its effects are carried out.
+            # In a later turn of the loop: a state machine must not get an answer while its effects are carried out.
             self.scheduler.call_at(self.scheduler.now(), self.handle, message, self._answer_self)
         else:
             self.send(member, message)
 
     def _answer_self(self, answer: Message) -> None:
-        if isinstance(answer, Promise | Accepted):  # of a newer member set this process knows already
+        if isinstance(answer, Promise | Accepted):  # an update of the member set would bring nothing new here
             self.runner.dispatch(answer)
 
     def rewrite_registers(self, members: MembersValue, round_ns: int) -> bool:
-        """Have what stands in each register accepted by a quorum of this member set, from a task of the loop.
+        """Have the value of each register accepted by a quorum of this member set; call this from a task of the loop.
 
-        Each register gets `round_ns` and the time that its length takes. False where one could not be, or where
-        another set is known meanwhile.
+        Each register gets `round_ns` plus the time that its length takes. Return False if one could not be rewritten,
+        or if another set has become known in the meantime.
         """
         for key in self.keys:
             if key == topics.MEMBER_SET:
-                continue  # it is written with the end of this change
+                continue  # rewritten by the change that settles the set
             deadline = self.scheduler.now() + round_ns + transfer_ns(self.value_size(key))
             result = self.change(key, lambda value: Unchanged(), deadline)
             if not isinstance(result, Committed) or self.member_set != members:
--- a/iristrack/controlplane/rollouts.py
+++ b/iristrack/controlplane/rollouts.py
@@ -1,7 +1,7 @@
-"""The duty of roll-outs: held by one core member at a time, fenced; it moves each running roll-out on.
+"""The duty of roll-outs: held by one core member at a time, under a fencing token; it advances the running roll-outs.
 
-`engines/rollouts.py` says what comes next, `engines/canary_analysis.py` whether the new version is bad; this file
-brings the evidence of all sidecars together, keeps the time since the orders, and writes each step to the register.
+`engines/rollouts.py` decides the next step and `engines/canary_analysis.py` whether the new version is bad. This module
+combines the evidence of all sidecars, tracks the time since the orders, and writes each step to the register.
 """
 
 from __future__ import annotations
@@ -34,56 +34,58 @@
 
 NS_PER_MS = 1_000_000
 TICK_NS = 100 * NS_PER_MS
-WRITE_NS = 800 * NS_PER_MS  # a step that takes longer to write is judged anew
-NOTE_MS = 1000  # the time since the order is written so often: whoever takes over goes on from there
-MOST_PROCESSES = 2048  # whose evidence is kept
+WRITE_TIMEOUT_NS = 800 * NS_PER_MS  # a step that takes longer to write is decided again
+PROGRESS_INTERVAL_MS = 1000  # between writes of the elapsed time, from which another holder continues
+MAX_PROCESSES = 2048  # processes whose evidence is kept
 
 
 @dataclass(slots=True)
-class Watched:
-    """What this process keeps of one running roll-out beside the register's state."""
+class RolloutWatch:
+    """The state of one running roll-out in this process, in addition to the register's."""
 
     number: int
-    elapsed_ms: int  # since the order, as the newest state told,
-    heard_at: int  # and when that was heard of here (ns)
-    whole_at: int = 0  # ns; when this process first knew that the new version gets everything, 0: not yet
+    elapsed_ms: int  # time since the order, according to the newest state
+    received_at: int  # when that state arrived here (ns)
+    full_at: int = 0  # when this process first saw the new version receive all traffic (ns); 0: not yet
     test: CanaryAnalysis = field(default_factory=CanaryAnalysis)
     verdict: Verdict | None = None
 
     def elapsed_ns(self, now: int) -> int:
-        """Nanoseconds since the order, at least."""
-        return self.elapsed_ms * NS_PER_MS + now - self.heard_at
+        """Return a lower bound of the time since the order (ns)."""
+        return self.elapsed_ms * NS_PER_MS + now - self.received_at
 
 
 @dataclass(slots=True)
-class _Told:
+class _ProcessCounts:
     count: int
-    heard_at: int  # ns
+    received_at: int  # ns
     answers: tuple[AnswerCounts, ...]
 
 
-class EvidenceBoard:
-    """The newest counts of each process; those of processes that have ended still count."""
+class EvidenceTable:
+    """The newest counts of each process; those of processes that have ended are included."""
 
     def __init__(self) -> None:
-        """Nobody has told anything."""
-        self._told: dict[str, _Told] = {}
+        """Start without counts."""
+        self._counts_by_process: dict[str, _ProcessCounts] = {}
 
-    def take(self, evidence: RolloutEvidence, now: int) -> None:
-        """A process told all that it has counted."""
-        known = self._told.get(evidence.process)
+    def record(self, evidence: RolloutEvidence, now: int) -> None:
+        """Record the cumulative counts of a process, unless newer ones are known."""
+        known = self._counts_by_process.get(evidence.process)
         if known is not None and known.count >= evidence.count:
             return
-        if known is None and len(self._told) >= MOST_PROCESSES:
+        if known is None and len(self._counts_by_process) >= MAX_PROCESSES:
             self._forget_oldest()
-        self._told[evidence.process] = _Told(evidence.count, now, evidence.answers)
+        self._counts_by_process[evidence.process] = _ProcessCounts(evidence.count, now, evidence.answers)
 
     def _forget_oldest(self) -> None:
-        oldest = min(self._told, key=lambda process: self._told[process].heard_at)
-        del self._told[oldest]
+        oldest = min(
+            self._counts_by_process, key=lambda process: self._counts_by_process[process].received_at
+        )
+        del self._counts_by_process[oldest]
 
     def new_answers(self, number: int) -> dict[RouteServer, Answers]:
-        """Of the new version's servers, by route and server."""
+        """Return the counts of the new version's servers, by route and server."""
         found: dict[RouteServer, Answers] = {}
         for row in self._rows(number):
             if row.is_new:
@@ -92,7 +94,7 @@
         return found
 
     def old_answers(self, number: int) -> dict[str, Answers]:
-        """Of the old version's, by route."""
+        """Return the counts of the old version's servers, by route."""
         found: dict[str, Answers] = {}
         for row in self._rows(number):
             if not row.is_new:
@@ -101,15 +103,20 @@
         return found
 
     def total(self, number: int) -> int:
-        """Of both versions."""
+        """Return the number of answers of both versions."""
         return sum(row.good + row.failed + row.slow for row in self._rows(number))
 
     def _rows(self, number: int) -> list[AnswerCounts]:
-        return [row for told in self._told.values() for row in told.answers if row.number == number]
+        return [
+            row
+            for counts in self._counts_by_process.values()
+            for row in counts.answers
+            if row.number == number
+        ]
 
 
 class RolloutsDuty:
-    """Claims the duty while a roll-out runs, and moves it on while the lease holds."""
+    """Claims the duty while a roll-out runs, and advances the roll-out while the lease is valid."""
 
     def __init__(
         self,
@@ -121,7 +128,7 @@
         publish: Callable[[Update], None],
         log,
     ) -> None:
-        """`loads` gives the sum of what all sidecars have under way, by instance. Starts with the next turn."""
+        """Start with the next turn of the loop; `loads` returns the requests in flight of all sidecars, by instance."""
         self.scheduler = scheduler
         self.register = register
         self.loads = loads
@@ -137,85 +144,85 @@
             publish,
             log,
         )
-        self.evidence = EvidenceBoard()
+        self.evidence = EvidenceTable()
         self.rollouts: tuple[RolloutState, ...] = ()
-        self.heard_at = scheduler.now()  # ns; of the newest value
+        self.received_at = scheduler.now()  # when the newest value arrived (ns)
         self.servers: list[ListedServer] = []
-        self.watched: dict[str, Watched] = {}  # by service
+        self.watched: dict[str, RolloutWatch] = {}  # by service
         scheduler.spawn("rollouts duty", self._run)
 
     def age_ms(self) -> int:
-        """How long ago the newest value of the register was heard of."""
-        return (self.scheduler.now() - self.heard_at) // NS_PER_MS
+        """Return the time since the newest value of the register arrived."""
+        return (self.scheduler.now() - self.received_at) // NS_PER_MS
 
     def on_update(self, update: Update) -> None:
-        """The duty's value, the roll-outs or the list of servers was told of."""
+        """Handle a published value of the duty, the roll-outs or the list of servers."""
         if update.topic == topics.ROLLOUTS_DUTY:
             self.duty.on_value(update.value)
         elif update.topic == topics.ROLLOUTS:
             self._take_rollouts(update.value)
         elif update.topic == topics.SERVERS:
-            told = decode_value(update.value, ServersValue)
-            self.servers = self.servers if told is None else from_message(told)
+            decoded = decode_value(update.value, ServersValue)
+            self.servers = self.servers if decoded is None else from_message(decoded)
 
-    def take_evidence(self, evidence: RolloutEvidence) -> None:
-        """A process of the data plane told what it has counted."""
-        self.evidence.take(evidence, self.scheduler.now())
+    def on_evidence(self, evidence: RolloutEvidence) -> None:
+        """Handle the counts of a data plane process."""
+        self.evidence.record(evidence, self.scheduler.now())
 
     def _take_rollouts(self, value: bytes) -> None:
-        told = decode_value(value, RolloutsValue)
-        if told is None:
+        decoded = decode_value(value, RolloutsValue)
+        if decoded is None:
             return
         now = self.scheduler.now()
-        self.rollouts = told.rollouts
-        self.heard_at = now
-        for state in told.rollouts:
+        self.rollouts = decoded.rollouts
+        self.received_at = now
+        for state in decoded.rollouts:
             self._watch(state, now)
 
     def _watch(self, state: RolloutState, now: int) -> None:
         known = self.watched.get(state.service)
         if known is None or known.number != state.number:
-            known = self.watched[state.service] = Watched(state.number, state.elapsed_ms, now)
+            known = self.watched[state.service] = RolloutWatch(state.number, state.elapsed_ms, now)
         if known.elapsed_ns(now) < state.elapsed_ms * NS_PER_MS:
-            known.elapsed_ms, known.heard_at = state.elapsed_ms, now
-        if state.share >= FULL_SHARE and not known.whole_at:
-            known.whole_at = now
+            known.elapsed_ms, known.received_at = state.elapsed_ms, now
+        if state.share >= FULL_SHARE and not known.full_at:
+            known.full_at = now
 
     def _run(self) -> None:
         while True:
             self.scheduler.sleep(TICK_NS)
             running = [state for state in self.rollouts if state.phase == RUNNING]
             for state in running:
-                self._look(state)
-            if running and self.duty.keep():
+                self._update_verdict(state)
+            if running and self.duty.maintain():
                 for state in running:
-                    self._move_on(state)
+                    self._advance(state)
 
-    def _look(self, state: RolloutState) -> None:
-        """Follow the evidence, whoever holds the duty: one that takes over knows it."""
+    def _update_verdict(self, state: RolloutState) -> None:
+        """Evaluate the evidence, whichever member holds the duty, so that its next holder has the verdict."""
         watched = self.watched[state.service]
         new, old = self.evidence.new_answers(state.number), self.evidence.old_answers(state.number)
         watched.verdict = watched.verdict or watched.test.update(new, old)
 
-    def _move_on(self, state: RolloutState) -> None:
+    def _advance(self, state: RolloutState) -> None:
         watched = self.watched[state.service]
         if watched.number != state.number:
             return
         now = self.scheduler.now()
         after = next_state(state, self._situation(state, watched, now))
         elapsed_ms = watched.elapsed_ns(now) // NS_PER_MS
-        if after == state and elapsed_ms - state.elapsed_ms < NOTE_MS:
+        if after == state and elapsed_ms - state.elapsed_ms < PROGRESS_INTERVAL_MS:
             return
         self._write(state, replace(after, elapsed_ms=elapsed_ms), watched)
 
-    def _situation(self, state: RolloutState, watched: Watched, now: int) -> RolloutObservation:
+    def _situation(self, state: RolloutState, watched: RolloutWatch, now: int) -> RolloutObservation:
         own = [server for server in self.servers if server.service == state.service]
         new = [server for server in own if server.software == state.version]
         old = [server for server in own if server.software != state.version]
         loads = self.loads()
         return RolloutObservation(
             elapsed_ns=watched.elapsed_ns(now),
-            full_share_ns=now - watched.whole_at if watched.whole_at else 0,
+            full_share_ns=now - watched.full_at if watched.full_at else 0,
             new_ready=sum(server.ready for server in new),
             old_ready=sum(server.ready for server in old),
             answers=watched.test.answers.total,
@@ -226,12 +233,12 @@
             bad_request_slack=self._bounds.canary_slack,
         )
 
-    def _write(self, before: RolloutState, after: RolloutState, watched: Watched) -> None:
+    def _write(self, before: RolloutState, after: RolloutState, watched: RolloutWatch) -> None:
         holding = self.duty.holding
         if holding is None or not self.duty.may_act:
             return
         change = changes.advance_rollout(before, after, holding.fence)
-        result = self.register.change(topics.ROLLOUTS, change, self.scheduler.now() + WRITE_NS)
+        result = self.register.change(topics.ROLLOUTS, change, self.scheduler.now() + WRITE_TIMEOUT_NS)
         if isinstance(result, Committed | Rejected | Overtaken):
             value = decode_value(result.value, RolloutsValue)
             if value is not None:
@@ -239,7 +246,7 @@
         if isinstance(result, Committed) and (after.phase, after.share) != (before.phase, before.share):
             self._log_step(after, watched)
 
-    def _log_step(self, state: RolloutState, watched: Watched) -> None:
+    def _log_step(self, state: RolloutState, watched: RolloutWatch) -> None:
         answers = watched.test.answers
         verdict = watched.verdict
         self.log.info(
--- a/iristrack/controlplane/state_machine_runner.py
+++ b/iristrack/controlplane/state_machine_runner.py
@@ -1,7 +1,7 @@
-"""Carries out what proposers and recoveries ask for: messages, timers, and their ends.
+"""Runs the register's state machines: sends their messages, sets their timers and hands over their results.
 
-A change of a long value goes on beyond its timers while bytes move between the members: to begin it anew would send the
-value once more, behind itself.
+A change of a long value may exceed its timers while bytes still move between the members. Starting it again would only
+queue a second copy of the value behind the first.
 """
 
 from __future__ import annotations
@@ -24,34 +24,32 @@
 from iristrack.wire.messages import Accept, Accepted, MembersValue, Prepare, Promise
 
 MIN_ATTEMPT_NS = RetryPolicy().attempt_timeout_ns
-SLOWEST_NS_PER_BYTE = 250  # a value is given so much more time for its length: 7 MiB get 1.8 s,
-SLOWEST_MOVING_NS_PER_BYTE = (
-    1600  # and so much as long as bytes move between the members, which is one at 5 Mbit/s
-)
-LEAST_MOVED_BYTES = 16 * 1024  # between two looks, to count as moving
+TRANSFER_NS_PER_BYTE = 250  # additional time for a long value: 1.8 s for 7 MiB
+MAX_TRANSFER_NS_PER_BYTE = 1600  # limit while bytes still move between the members: a link of 5 Mbit/s
+MIN_MOVED_BYTES = 16 * 1024  # progress between two checks that counts as moving
 
 
 def transfer_ns(size: int) -> int:
-    """How much longer a change of a value of so many bytes may take (ns)."""
-    return size * SLOWEST_NS_PER_BYTE
+    """Return the additional time (ns) that a change of a value of `size` bytes may take."""
+    return size * TRANSFER_NS_PER_BYTE
 
 
 @dataclass(slots=True, eq=False)
 class RunningChange:
-    """A proposer, and the task that waits for its result."""
+    """A running proposer and the task that waits for its result."""
 
     state_machine: Proposer
     task: Task
     began_at: int  # ns
-    moved_bytes: int  # between the members, when these were last seen to move,
-    moved_at: int  # and when that was (ns)
+    moved_bytes: int  # counter of bytes between the members at the last progress
+    moved_at: int  # time of the last progress (ns)
     timer: Timer | None = None
     result: ProposerResult | None = None
 
 
 @dataclass(slots=True, eq=False)
 class RunningRecovery:
-    """A recovery, and what is done with its end."""
+    """A running recovery and the callback for its result."""
 
     state_machine: Recovery
     on_recovered: Callable[[Recovered], None]
@@ -62,7 +60,7 @@
 
 
 class StateMachineRunner:
-    """All proposers and recoveries of one process."""
+    """Runs all proposers and recoveries of one process."""
 
     def __init__(
         self,
@@ -71,10 +69,11 @@
         value_size: Callable[[str], int],
         moved_bytes: Callable[[], int],
     ) -> None:
-        """`send` takes a member and a message to it, which may be lost.
+        """Create a runner without state machines.
 
-        `value_size` tells how many bytes this process's acceptor holds of a register, `moved_bytes` how many were
-        written to the other members and read from them.
+        `send` sends a message to a member; messages may be lost. `value_size` returns the length (bytes) of the value
+        of a register at this process's acceptor. `moved_bytes` counts the bytes written to and read from the other
+        members.
         """
         self._scheduler = scheduler
         self._send = send
@@ -84,11 +83,11 @@
 
     @property
     def under_way(self) -> int:
-        """How many have not ended."""
+        """The number of state machines that have not ended."""
         return len(self._running)
 
     def run(self, proposer: Proposer) -> ProposerResult:
-        """Carry a change to its end, from a task of the loop."""
+        """Run a change to its end; call this from a task of the loop."""
         now = self._scheduler.now()
         running = RunningChange(proposer, self._scheduler.current, now, self._moved_bytes(), now)
         self.start(running)
@@ -100,26 +99,26 @@
         return running.result
 
     def start(self, running: Running) -> None:
-        """Begin."""
+        """Start a state machine."""
         self._running.append(running)
         self._carry_out(running, running.state_machine.start(self._scheduler.now()))
 
     def drop(self, running: Running) -> None:
-        """Go on with it no more; harmless where it has ended."""
+        """Stop running a state machine; does nothing if it has ended."""
         if running.timer is not None:
             running.timer.cancel()
         if running in self._running:
             self._running.remove(running)
 
     def dispatch(self, answer: Promise | Accepted) -> None:
-        """Give an answer to all that may have asked for it."""
+        """Pass an answer to every state machine that may have asked for it."""
         for running in list(self._running):
             if isinstance(running, RunningRecovery) and not isinstance(answer, Promise):
                 continue
             self._carry_out(running, running.state_machine.handle(answer, self._scheduler.now()))
 
     def use(self, members: MembersValue) -> None:
-        """Have the changes under way go by a newer member set."""
+        """Switch the running changes to a newer member set."""
         for running in list(self._running):
             if isinstance(running, RunningChange):
                 self._carry_out(running, running.state_machine.use(members, self._scheduler.now()))
@@ -146,14 +145,14 @@
         self._carry_out(running, running.state_machine.on_timer(now))
 
     def _is_moving(self, running: RunningChange, now: int) -> bool:
-        """Is a long value still on its way?"""
+        """Tell whether a long value is still being transferred."""
         moved = self._moved_bytes()
         size = max(running.state_machine.proposal_size, self._value_size(running.state_machine.key))
-        if moved - running.moved_bytes >= LEAST_MOVED_BYTES:
+        if moved - running.moved_bytes >= MIN_MOVED_BYTES:
             running.moved_bytes, running.moved_at = moved, now
-        rests_ns = max(MIN_ATTEMPT_NS, transfer_ns(size))  # what has left here may lie on the way
-        is_late = now - running.began_at > size * SLOWEST_MOVING_NS_PER_BYTE
-        return not is_late and now - running.moved_at < rests_ns
+        stall_ns = max(MIN_ATTEMPT_NS, transfer_ns(size))  # bytes sent may still be queued in the network
+        is_late = now - running.began_at > size * MAX_TRANSFER_NS_PER_BYTE
+        return not is_late and now - running.moved_at < stall_ns
 
     def _finish(self, running: Running, result: ProposerResult | Recovered) -> None:
         if isinstance(running, RunningRecovery):
--- a/iristrack/controlplane/status.py
+++ b/iristrack/controlplane/status.py
@@ -1,7 +1,7 @@
-"""What one control plane knows of the system, for operators: `GET /system/status`.
+"""The status of the system as one control plane knows it, for operators: `GET /system/status`.
 
-The answer is one JSON object. Readers ignore fields that they do not know, and take the default of those that are
-missing, so that commands and processes of two landings work together. It holds no API key.
+The answer is one JSON object. Readers ignore unknown fields and use the default for missing ones, so that commands and
+processes of two releases work together. It contains no API key.
 """
 
 from __future__ import annotations
@@ -38,23 +38,23 @@
 
 
 class MalformedStatus(ValueError):
-    """A document that is no status."""
+    """A document that is not a status."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """One member of the set that votes; `node` and `incarnation` are empty while they are not known."""
+    """One member of the voting set; `node` and `incarnation` are empty while they are unknown."""
 
     address: str  # inner address, ip:port
     node: str = ""
     incarnation: str = ""
-    here: bool = False  # is it the process that tells this?
-    connected: bool | None = None  # is there a connection to it? None: not known
+    here: bool = False  # the process that reports this status
+    connected: bool | None = None  # whether there is a connection to it; None: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class TopicStatus:
-    """How new the newest known value of a topic is."""
+    """The version of the newest known value of a topic."""
 
     topic: str
     sequence: int
@@ -69,26 +69,26 @@
     process: str
     zone: str
     address: str
-    subscribed: bool  # does it follow the topics here?
-    pushed: bool  # is it told of changes at once? Else at its next heartbeat
-    silent_ms: int  # since it last said anything
+    subscribed: bool  # whether it subscribes to the topics of the reporting process
+    pushed: bool  # whether it is sent changes at once; otherwise at its next heartbeat
+    silent_ms: int  # time since its last message
 
 
 @dataclass(frozen=True, slots=True)
 class DutyStatus:
-    """Who holds a duty; `owner` is empty while nobody ever held it."""
+    """The holder of a duty; `owner` is empty if there was never one."""
 
     duty: str
     owner: str = ""
     process: str = ""
     fence: int = 0
     renewals: int = 0
-    act_ms: int = 0  # for so long the process that tells this may act on it; 0: it may not
+    act_ms: int = 0  # how long the reporting process may still act on the duty; 0: it may not
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationStatus:
-    """The newest configuration that is known to have been taken, without its text."""
+    """The newest configuration known to have been committed, without its text."""
 
     revision: int
     sequence: int
@@ -97,16 +97,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelStatus:
-    """A revision of a model's weights, as a server holds it or as it was named last."""
+    """A revision of a model's weights, as loaded by a server or as named last."""
 
     model: str
     revision: int
-    named_ms_ago: int | None = None  # at least; None where it is not known
+    named_ms_ago: int | None = None  # lower bound; None: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """One entry of the platform's list, with what the holder of the weights duty told of it."""
+    """One entry of the platform's list, with the state published by the holder of the weights duty."""
 
     instance: str
     service: str
@@ -115,59 +115,55 @@
     ready: bool
     capacity: int
     models: tuple[ModelStatus, ...] = ()
-    busy: bool = False  # it takes new weights, and turns requests away
-    preparing: bool = False  # it takes new weights next
+    busy: bool = False  # loading new weights, and rejecting requests
+    preparing: bool = False  # next to load new weights
 
 
 @dataclass(frozen=True, slots=True)
 class SystemStatus:
-    """All of it; `servers` is None where it was not asked for or is not known."""
+    """The whole status; `servers` is None if it was not requested or is unknown."""
 
     node: str
     zone: str = ""
     address: str = ""  # inner address, ip:port
     process: str = ""
     voting: bool = False
-    founded: bool = False  # is the member set known that the seeds agreed on? No change is taken before
-    in_quorum: bool = (
-        True  # has it heard from a quorum of the members lately? Else it answers orders with 503
-    )
-    joining: str = (
-        ""  # the member that was let in last and has not recovered yet: until then one more loss may be final
-    )
-    leaving: str = (
-        ""  # who was taken out, while the registers are written again, or whose place was taken last
-    )
+    founded: bool = False  # whether an agreed member set is known; before that no change is accepted
+    in_quorum: bool = True  # whether a quorum of members was heard from recently; otherwise orders get 503
+    # The member admitted last, while it has not recovered: until then one more loss may be final.
+    joining: str = ""
+    # The member removed, while the registers are rewritten, or the one that was replaced last.
+    leaving: str = ""
     incarnation: str = ""
     members: tuple[MemberStatus, ...] = ()
     topics: tuple[TopicStatus, ...] = ()
     peers: tuple[PeerStatus, ...] = ()
-    list_poller: str = ""  # inner address of the member that fetches the platform's list; empty: not known
+    list_poller: str = ""  # inner address of the member that fetches the platform's list; empty: unknown
     duties: tuple[DutyStatus, ...] = ()
     configuration: ConfigurationStatus | None = None
     versions: tuple[ModelStatus, ...] = ()
     servers: tuple[ServerStatus, ...] | None = None
 
 
-class PeerBook:
-    """What each open connection's other end said of itself."""
+class PeerDirectory:
+    """The hello message of the peer on each open connection."""
 
     def __init__(self) -> None:
-        """Nobody has said anything yet."""
+        """Start without peers."""
         self._hellos: dict[PeerConnection, Hello] = {}
 
-    def met(self, connection: PeerConnection, hello: Hello) -> None:
-        """The other end of a connection said who it is."""
-        self._hellos = {c: told for c, told in self._hellos.items() if not c.closed}
+    def record_hello(self, connection: PeerConnection, hello: Hello) -> None:
+        """Record the hello of a connection's peer, and drop closed connections."""
+        self._hellos = {c: known for c, known in self._hellos.items() if not c.closed}
         self._hellos[connection] = hello
 
-    def open(self) -> Iterable[tuple[PeerConnection, Hello]]:
-        """The connections that are open."""
-        return [(c, told) for c, told in self._hellos.items() if not c.closed]
+    def connected(self) -> Iterable[tuple[PeerConnection, Hello]]:
+        """Return the open connections with their hellos."""
+        return [(c, hello) for c, hello in self._hellos.items() if not c.closed]
 
 
-class Parts(Protocol):
-    """The parts of a control plane that a status tells of."""
+class StatusSource(Protocol):
+    """The parts of a control plane that a status is collected from."""
 
     settings: Settings
     process: str
@@ -178,56 +174,56 @@
     dialers: DialerSet
     weights: WeightsDuty | None
     named_weights: NamedWeights
-    peer_book: PeerBook
+    peer_directory: PeerDirectory
 
 
-# ---- telling
+# ---- collecting
 
 
-def status_document(parts: Parts, with_servers: bool) -> Document:
-    """The body of an answer to `GET /system/status`; `with_servers` for `?servers`."""
-    return to_document(collect_status(parts, with_servers))
+def status_document(source: StatusSource, with_servers: bool) -> Document:
+    """Return the body of an answer to `GET /system/status`; `with_servers` for `?servers`."""
+    return to_document(collect_status(source, with_servers))
 
 
-def collect_status(parts: Parts, with_servers: bool) -> SystemStatus:
-    """What a running control plane knows now."""
-    known = parts.distribution.topics
-    connected = {address for address, dialer in parts.dialers.dialers.items() if dialer.connected}
+def collect_status(source: StatusSource, with_servers: bool) -> SystemStatus:
+    """Collect the status of a running control plane."""
+    known = source.distribution.topics
+    connected = {address for address, dialer in source.dialers.dialers.items() if dialer.connected}
     return SystemStatus(
-        node=parts.settings.node_name,
-        zone=parts.settings.zone,
-        address=parts.address,
-        process=parts.process,
-        voting=parts.register.voting,
-        founded=parts.register.founded,
-        in_quorum=parts.quorum.holds(),
-        joining=parts.register.member_set.joining,
-        leaving=parts.register.member_set.leaving,
-        incarnation=parts.register.incarnation,
-        members=_members(parts, connected),
+        node=source.settings.node_name,
+        zone=source.settings.zone,
+        address=source.address,
+        process=source.process,
+        voting=source.register.voting,
+        founded=source.register.founded,
+        in_quorum=source.quorum.has_quorum(),
+        joining=source.register.member_set.joining,
+        leaving=source.register.member_set.leaving,
+        incarnation=source.register.incarnation,
+        members=_members(source, connected),
         topics=tuple(
             sorted((TopicStatus(v.topic, v.sequence) for v in known.versions()), key=lambda t: t.topic)
         ),
-        peers=_peers(parts),
-        list_poller=min({parts.address, *connected}) if parts.settings.provider_api is not None else "",
-        duties=(_weights_duty(parts),),
+        peers=_peers(source),
+        list_poller=min({source.address, *connected}) if source.settings.provider_api is not None else "",
+        duties=(_weights_duty(source),),
         configuration=configuration_status(_value(known, topics.CONFIGURATION, ConfigurationValue)),
         versions=version_statuses(
-            _value(known, topics.VERSIONS, VersionsValue), parts.named_weights.ages(clock())
+            _value(known, topics.VERSIONS, VersionsValue), source.named_weights.ages(clock())
         ),
         servers=_servers(known) if with_servers else None,
     )
 
 
 def duty_status(duty: str, value: DutyValue | None, act_ms: int = 0) -> DutyStatus:
-    """A duty by its register's value."""
+    """Return the status of a duty from the value of its register."""
     if value is None:
         return DutyStatus(duty)
     return DutyStatus(duty, value.owner, value.process, value.fence, value.renewals, act_ms)
 
 
 def configuration_status(value: ConfigurationValue | None) -> ConfigurationStatus | None:
-    """A configuration by its register's value."""
+    """Return the status of a configuration from the value of its register."""
     if value is None or not value.body:
         return None
     digest = value.taken[-1].digest if value.taken else ""
@@ -235,7 +231,7 @@
 
 
 def version_statuses(value: VersionsValue | None, ages: Iterable[NamedAge] = ()) -> tuple[ModelStatus, ...]:
-    """The named weights by their register's value, and how long ago they were named where that is known."""
+    """Return the named weights from the value of their register, with their ages where these are known."""
     ms_ago = {(age.model, age.revision): age.age_ms for age in ages}
     versions = () if value is None else value.versions
     return tuple(ModelStatus(v.model, v.revision, ms_ago.get((v.model, v.revision))) for v in versions)
@@ -246,26 +242,26 @@
     return None if update is None else decode_value(update.value, expected)
 
 
-def _members(parts: Parts, connected: set[str]) -> tuple[MemberStatus, ...]:
-    told = {hello.address: hello for _, hello in parts.peer_book.open()}
-    own = parts.address
+def _members(source: StatusSource, connected: set[str]) -> tuple[MemberStatus, ...]:
+    hellos = {hello.address: hello for _, hello in source.peer_directory.connected()}
+    own = source.address
 
     def member(address: str) -> MemberStatus:
         if address == own:
-            return MemberStatus(address, parts.settings.node_name, parts.register.incarnation, True, True)
-        node = told[address].node if address in told else ""
-        incarnation = parts.register.identity.incarnations.get(address, "")
+            return MemberStatus(address, source.settings.node_name, source.register.incarnation, True, True)
+        node = hellos[address].node if address in hellos else ""
+        incarnation = source.register.identity.incarnations.get(address, "")
         return MemberStatus(address, node, incarnation, False, address in connected)
 
-    return tuple(member(address) for address in sorted(parts.register.members))
+    return tuple(member(address) for address in sorted(source.register.members))
 
 
-def _peers(parts: Parts) -> tuple[PeerStatus, ...]:
-    """One entry for each process: two core members hold two connections, one dialled by each."""
-    subscribers = parts.distribution.subscribers
+def _peers(source: StatusSource) -> tuple[PeerStatus, ...]:
+    """Return one entry per process: two core members share two connections, one dialled by each."""
+    subscribers = source.distribution.subscribers
     now = clock()
     found: dict[tuple[str, str], PeerStatus] = {}
-    for connection, hello in parts.peer_book.open():
+    for connection, hello in source.peer_directory.connected():
         before = found.get((hello.node, hello.process))
         subscriber = subscribers.get(connection)
         pushed = subscriber is not None and subscriber.push
@@ -283,9 +279,9 @@
     return tuple(sorted(found.values(), key=lambda peer: (peer.role, peer.node, peer.process)))
 
 
-def _weights_duty(parts: Parts) -> DutyStatus:
-    value = _value(parts.distribution.topics, topics.WEIGHTS_DUTY, DutyValue)
-    holding = None if parts.weights is None else parts.weights.lease.holding
+def _weights_duty(source: StatusSource) -> DutyStatus:
+    value = _value(source.distribution.topics, topics.WEIGHTS_DUTY, DutyValue)
+    holding = None if source.weights is None else source.weights.lease.holding
     act_ms = 0 if holding is None else max(0, holding.act_until - clock()) // NS_PER_MS
     return duty_status(topics.WEIGHTS_DUTY, value, act_ms)
 
@@ -314,16 +310,16 @@
     )
 
 
-# ---- as JSON
+# ---- JSON
 
 
 def to_document(status: SystemStatus) -> Document:
-    """A status as a JSON object."""
+    """Convert a status to a JSON object."""
     return asdict(status)
 
 
 def from_document(document: Any) -> SystemStatus:
-    """A status that another process told, of this landing or another; raises `MalformedStatus`."""
+    """Read a status sent by another process, of this release or another; raises `MalformedStatus`."""
     try:
         return _build(
             SystemStatus,
@@ -336,13 +332,13 @@
             versions=_rows(ModelStatus, document.get("versions")),
             servers=_server_rows(document.get("servers")),
         )
-    except (TypeError, AttributeError) as fault:
-        raise MalformedStatus(f"no status: {fault}") from fault
+    except (TypeError, AttributeError) as error:
+        raise MalformedStatus(f"no status: {error}") from error
 
 
-def _build(model: type, row: Document, **parts: Any) -> Any:
+def _build(model: type, row: Document, **nested: Any) -> Any:
     names = {field.name for field in fields(model)}
-    return model(**{name: value for name, value in row.items() if name in names} | parts)
+    return model(**{name: value for name, value in row.items() if name in names} | nested)
 
 
 def _row(model: type, row: Document | None) -> Any:
--- a/iristrack/controlplane/status_metrics.py
+++ b/iristrack/controlplane/status_metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a control plane, from what it tells of itself (`status.py`)."""
+"""The metrics of a control plane, derived from its status document (`status.py`)."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def status_metrics(document: dict[str, Any]) -> dict[str, int | bool]:
-    """Numbers by name; what is not known is left out."""
+    """Return the metrics by name; unknown ones are left out."""
     members = document.get("members", ())
-    figures: dict[str, int | bool] = {
+    metrics: dict[str, int | bool] = {
         "voting": bool(document.get("voting")),
         "founded": bool(document.get("founded")),
         "in_quorum": bool(document.get("in_quorum")),
@@ -21,8 +21,8 @@
     }
     configuration = document.get("configuration")
     if configuration is not None:
-        figures["configuration_revision"] = configuration["revision"]
+        metrics["configuration_revision"] = configuration["revision"]
     for topic in document.get("topics", ()):
         if topic["topic"] in (topics.CONFIGURATION, topics.VERSIONS, topics.MEMBERS):
-            figures[f"{topic['topic']}_sequence"] = topic["sequence"]
-    return figures
+            metrics[f"{topic['topic']}_sequence"] = topic["sequence"]
+    return metrics
--- a/iristrack/controlplane/weight_orders.py
+++ b/iristrack/controlplane/weight_orders.py
@@ -1,4 +1,4 @@
-"""Orders to single servers to take a revision of a model's weights, given under a lease."""
+"""Orders single servers to load a revision of a model's weights, under a lease."""
 
 from __future__ import annotations
 
@@ -14,40 +14,42 @@
 
 NS_PER_MS = 1_000_000
 CALL_TIMEOUT_NS = 700 * NS_PER_MS
-REPORT_NS = 200 * NS_PER_MS
-GIVE_UP_NS = 12_000 * NS_PER_MS  # an upgrade that takes longer is begun anew
-NO_ORDER_NS = 1500 * NS_PER_MS  # a server that takes no order for so long lets the others go first
-FENCE_REFUSED = 412  # the status of a server that has seen a higher fence
-ORDER_TAKEN = (200, 202)
-METHOD = (
-    "retain"  # streams go on: their parts stay under the salt of the old weights, where no new request looks
-)
+REPORT_INTERVAL_NS = 200 * NS_PER_MS
+UPGRADE_TIMEOUT_NS = 12_000 * NS_PER_MS  # an upgrade that takes longer is started again
+ORDER_TIMEOUT_NS = 1500 * NS_PER_MS  # a server that accepts no order for this long is passed over for others
+FENCE_REFUSED = 412  # status of a server that has seen a higher fencing token
+ACCEPTED_STATUSES = (200, 202)
+# Running streams continue: their cached prefixes stay under the salt of the old weights, which no new request uses.
+METHOD = "retain"
 
 
 class WeightOrders:
-    """Brings servers to a revision, one call of `upgrade` for each."""
+    """Upgrades servers to a revision, with one call of `upgrade` for each."""
 
     def __init__(self, scheduler: Scheduler, lease: Lease, log) -> None:
-        """Orders are given while `lease` holds, under its fence."""
+        """Give orders only while `lease` is valid, under its fencing token."""
         self.scheduler = scheduler
         self.lease = lease
         self.log = log
 
     def upgrade(self, upgrade: Upgrade) -> bool:
-        """Order a server to take the weights and wait until its report tells them, from a task; false: given up."""
+        """Order a server to load the weights and wait until its report shows them; false if it timed out.
+
+        Call this from a task.
+        """
         caller = Caller(self.scheduler, parse_address(upgrade.address))
         began = self.scheduler.now()
         ordered = False
         try:
-            while self.scheduler.now() - began < (GIVE_UP_NS if ordered else NO_ORDER_NS):
+            while self.scheduler.now() - began < (UPGRADE_TIMEOUT_NS if ordered else ORDER_TIMEOUT_NS):
                 report = self._report(caller)
                 if report is not None and report.revisions.get(upgrade.model, 0) >= upgrade.revision:
-                    took_ms = (self.scheduler.now() - began) // NS_PER_MS
-                    self.log.info("weights taken", server=upgrade.instance_id, ms=took_ms)
+                    duration_ms = (self.scheduler.now() - began) // NS_PER_MS
+                    self.log.info("weights taken", server=upgrade.instance_id, ms=duration_ms)
                     return True
                 if report is not None and not ordered:
                     ordered = report.busy or self.order(caller, upgrade, report)
-                self.scheduler.sleep(REPORT_NS)
+                self.scheduler.sleep(REPORT_INTERVAL_NS)
             return False
         finally:
             caller.close()
@@ -60,7 +62,7 @@
             return None
 
     def order(self, caller: Caller, upgrade: Upgrade, report: Report) -> bool:
-        """Give the order if the lease still holds; whether the server has it, as far as is known."""
+        """Send the order if the lease is still valid; return whether the server is known to have accepted it."""
         if not self.lease.may_act(self.scheduler.now()):
             return False
         fence = self.lease.holding.fence
@@ -70,18 +72,18 @@
             % upgrade.instance_id.encode()
         )
         try:
-            caller.close()  # on a connection of its own: no late answer can be taken for the order's
+            caller.close()  # a new connection, so that no late answer is mistaken for the order's
             caller.connect(self.scheduler.now() + CALL_TIMEOUT_NS)
             if not self.lease.may_act(self.scheduler.now()):
-                return False  # it ended while the connection came up
+                return False  # the lease expired while the connection was established
             answer = caller.call(b"POST", b"/order", lines, body, self.scheduler.now() + CALL_TIMEOUT_NS)
         except (OSError, http.Malformed, http.Truncated):
-            return False  # it may have been taken: `expected_count` guards the next one
+            return False  # the server may have accepted it: `expected_count` guards the next order
         status = answer.head.status
         self.log.info("order", server=upgrade.instance_id, revision=upgrade.revision, status=status)
         if status == FENCE_REFUSED:
             self.lease.refused(fence)
-        return status in ORDER_TAKEN
+        return status in ACCEPTED_STATUSES
 
     def _order_body(self, upgrade: Upgrade, report: Report, fence: int) -> bytes:
         order = {
--- a/iristrack/controlplane/weights.py
+++ b/iristrack/controlplane/weights.py
@@ -1,7 +1,7 @@
-"""The duty of bringing servers to the named weights: held by one core member at a time, fenced.
+"""The duty of upgrading servers to the named weights: held by one core member at a time, under a fencing token.
 
-`duty_holder.py` holds the duty, `engines/rolling_upgrade.py` says which servers go next, `weight_orders.py` brings one
-server to its revision; this file puts them together and tells the sidecars which servers are busy.
+`duty_holder.py` holds the duty, `engines/rolling_upgrade.py` selects the next servers, and `weight_orders.py` upgrades
+one server. This module combines them and tells the sidecars which servers are busy.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 NS_PER_MS = 1_000_000
 TICK_NS = 100 * NS_PER_MS
-FENCE_SHIFT = 24  # the sequence of a holder's updates: its fence, then a counter
+FENCE_SHIFT = 24  # bits of the counter below the fencing token, in the sequence of a holder's updates
 
 
 class WeightsDuty:
-    """Claims the duty when there is work, and does it while the lease holds."""
+    """Claims the duty when servers need an upgrade, and upgrades them while the lease is valid."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         settings: Settings,
         process: str,
         register: RegisterHost,
-        named: Callable[[], dict[str, int]],
+        named_revisions: Callable[[], dict[str, int]],
         publish: Callable[[Update], None],
         log,
     ) -> None:
-        """`named` gives the newest revision of each model; starts with the next turn of the loop."""
+        """Start with the next turn of the loop; `named_revisions` returns the newest revision of each model."""
         self.scheduler = scheduler
-        self.named = named
+        self.named_revisions = named_revisions
         self.publish = publish
         lease_ns = int(settings.rule_bounds.lease_ms) * NS_PER_MS
         self.lease = Lease(settings.node_name, process, lease_ns)
@@ -50,13 +50,13 @@
         self.orders = WeightOrders(scheduler, self.lease, log)
         self.servers: list[ListedServer] = []
         self.roll = RollingUpgrade()
-        self._told: BusyServers | None = None
-        self._done: dict[tuple[str, str], int] = {}  # (instance, model): revision that its report told
+        self._last_published: BusyServers | None = None
+        self._upgraded: dict[tuple[str, str], int] = {}  # by (instance, model): reported revision
         self._updates = 0
         scheduler.spawn("weights duty", self._run)
 
     def on_update(self, update: Update) -> None:
-        """The duty's value, or the list of servers, was told of."""
+        """Handle a published value of the duty, or a published list of servers."""
         if update.topic == topics.WEIGHTS_DUTY:
             self.duty.on_value(update.value)
         elif update.topic == topics.SERVERS:
@@ -65,50 +65,55 @@
     def _run(self) -> None:
         while True:
             self.scheduler.sleep(TICK_NS)
-            is_work = bool(self._wanted()) or self.roll.in_progress  # else nobody has to hold the duty
-            if is_work and self.duty.keep():
-                self._work()
+            # Without work no member needs to hold the duty.
+            has_work = bool(self._needed_upgrades()) or self.roll.in_progress
+            if has_work and self.duty.maintain():
+                self._give_orders()
 
-    def _work(self) -> None:
+    def _give_orders(self) -> None:
         now = self.scheduler.now()
-        upgrades = self.roll.next_orders(self._wanted(), sum(bool(s.models) for s in self.servers), now)
-        self._tell_busy()
+        upgrades = self.roll.next_orders(
+            self._needed_upgrades(), sum(bool(s.models) for s in self.servers), now
+        )
+        self._publish_busy()
         for upgrade in upgrades:
             self.scheduler.spawn("upgrade", self._upgrade, upgrade)
 
-    def _wanted(self) -> list[Upgrade]:
-        return [u for u in wanted_upgrades(self.servers, self.named()) if not self._is_done(u)]
+    def _needed_upgrades(self) -> list[Upgrade]:
+        return [u for u in wanted_upgrades(self.servers, self.named_revisions()) if not self._is_upgraded(u)]
 
     def _take_list(self, value: bytes) -> None:
-        told = decode_value(value, ServersValue)
-        if told is None:
+        decoded = decode_value(value, ServersValue)
+        if decoded is None:
             return
-        self.servers = from_message(told)
+        self.servers = from_message(decoded)
         listed = {server.instance_id for server in self.servers}
-        self._done = {key: revision for key, revision in self._done.items() if key[0] in listed}
+        self._upgraded = {key: revision for key, revision in self._upgraded.items() if key[0] in listed}
 
-    def _is_done(self, upgrade: Upgrade) -> bool:
-        return self._done.get((upgrade.instance_id, upgrade.model), 0) >= upgrade.revision
+    def _is_upgraded(self, upgrade: Upgrade) -> bool:
+        return self._upgraded.get((upgrade.instance_id, upgrade.model), 0) >= upgrade.revision
 
     def _upgrade(self, upgrade: Upgrade) -> None:
-        """Bring one server to its revision, and note what came of it, also where this task is ended."""
-        is_taken = False
+        """Upgrade one server, and record the outcome even if this task is cancelled."""
+        is_upgraded = False
         try:
-            is_taken = self.orders.upgrade(upgrade)
+            is_upgraded = self.orders.upgrade(upgrade)
         finally:
-            if is_taken:
-                self._done[upgrade.instance_id, upgrade.model] = upgrade.revision
+            if is_upgraded:
+                self._upgraded[upgrade.instance_id, upgrade.model] = upgrade.revision
                 self.roll.ended(upgrade.instance_id)
             else:
                 self.roll.postpone(upgrade.instance_id, self.scheduler.now())
-            self._tell_busy()
+            self._publish_busy()
 
-    def _tell_busy(self) -> None:
-        taken = (InstanceRevision(name, model, revision) for (name, model), revision in self._done.items())
+    def _publish_busy(self) -> None:
+        taken = (
+            InstanceRevision(name, model, revision) for (name, model), revision in self._upgraded.items()
+        )
         busy = BusyServers(tuple(sorted(self.roll.ordered)), tuple(sorted(self.roll.preparing)), tuple(taken))
-        if self.lease.holding is None or busy == self._told:
+        if self.lease.holding is None or busy == self._last_published:
             return
-        self._told = busy
+        self._last_published = busy
         self._updates += 1
         sequence = (self.lease.holding.fence << FENCE_SHIFT) + self._updates
         self.publish(Update(topics.BUSY_SERVERS, sequence, encode(busy)))
--- a/iristrack/platform_api/__init__.py
+++ b/iristrack/platform_api/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's and the servers' own interfaces, as both programs call them."""
+"""Clients of the platform's and the servers' interfaces, shared by the control plane and the data plane."""
--- a/iristrack/platform_api/server_list.py
+++ b/iristrack/platform_api/server_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers: reading its pages, and fetching it whole."""
+"""The platform's list of servers: decoding its pages, and fetching all of them."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from iristrack.placement.servers import ListedServer
 from iristrack.wire.messages import ModelRevision, ServerEntry, ServersValue
 
-MOST_PAGES = 200
+MAX_PAGES = 200
 READY = "ready"
 
 
 class ListUnavailable(Exception):
-    """The list could not be had whole."""
+    """The complete list could not be fetched."""
 
 
 class MalformedList(ListUnavailable):
-    """A page that cannot be read."""
+    """A page that cannot be decoded."""
 
 
 def read_page(body: bytes) -> tuple[list[ListedServer], str | None]:
-    """The entries of a page and the token of the next one; raises `MalformedList`."""
+    """Return the entries of a page and the token of the next one; raises `MalformedList`."""
     try:
         page = json.loads(body)
         entries = [_entry(row) for row in page["servers"]]
         token = page.get("next_token")
-    except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as fault:
-        raise MalformedList(f"{type(fault).__name__}: {fault}") from fault
+    except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as error:
+        raise MalformedList(f"{type(error).__name__}: {error}") from error
     if token is not None and not isinstance(token, str):
-        raise MalformedList("next_token is no text")
+        raise MalformedList("next_token is not a string")
     return entries, token or None
 
 
@@ -51,7 +51,7 @@
 
 
 def to_message(entries: list[ListedServer]) -> ServersValue:
-    """The list as it is handed on between processes."""
+    """Convert the list to the message that is sent between processes."""
     return ServersValue(
         tuple(
             ServerEntry(
@@ -70,7 +70,7 @@
 
 
 def from_message(value: ServersValue) -> list[ListedServer]:
-    """The list as it was handed on."""
+    """Convert a message from another process back to the list."""
     software = value.software if len(value.software) == len(value.servers) else ("",) * len(value.servers)
     return [
         ListedServer(
@@ -88,14 +88,14 @@
 
 
 def fetch_list(caller: Caller, deadline: int) -> list[ListedServer]:
-    """All pages; raises `ListUnavailable` where one is missing, for half a list would tell of servers that are gone."""
+    """Fetch all pages; raises `ListUnavailable` if one fails, since a partial list would make servers look removed."""
     entries: list[ListedServer] = []
     target = b"/instances"
-    for _ in range(MOST_PAGES):
+    for _ in range(MAX_PAGES):
         try:
             answer = caller.call(b"GET", target, b"", b"", deadline)
-        except (OSError, http.Malformed, http.Truncated) as fault:
-            raise ListUnavailable(str(fault)) from fault
+        except (OSError, http.Malformed, http.Truncated) as error:
+            raise ListUnavailable(str(error)) from error
         if answer.head.status != 200:
             raise ListUnavailable(f"status {answer.head.status}")
         page, token = read_page(answer.body)
@@ -103,4 +103,4 @@
         if token is None:
             return entries
         target = b"/instances?page_token=" + quote(token, safe="").encode()
-    raise ListUnavailable("the pages have no end")
+    raise ListUnavailable(f"the list has more than {MAX_PAGES} pages")
--- a/tests/controlplane/test_changes.py
+++ b/tests/controlplane/test_changes.py
@@ -12,7 +12,7 @@
 from iristrack.controlplane.changes import (
     BASE_DIFFERS,
     BASE_FORGOTTEN,
-    HELD,
+    DUTY_HELD,
     INVALID,
     MAX_TAKEN_REVISIONS,
     NOT_HIGHER,
@@ -300,7 +300,7 @@
 def test_a_vacant_duty_goes_to_whoever_saw_it_so() -> None:
     value = claim_duty("n1", "p1", None)(b"")
     assert duty(value) == DutyValue(1, "n1", "p1", 1, 0)
-    assert claim_duty("n2", "p2", None)(value) == Refuse(HELD)
+    assert claim_duty("n2", "p2", None)(value) == Refuse(DUTY_HELD)
     assert duty(claim_duty("n2", "p2", duty(value))(value)) == DutyValue(2, "n2", "p2", 2, 0)
 
 
@@ -314,8 +314,8 @@
 def test_a_holder_that_lives_is_not_robbed_by_one_who_saw_less() -> None:
     first = claim_duty("n1", "p1", None)(b"")
     renewed = claim_duty("n1", "p1", None)(first)
-    assert claim_duty("n2", "p2", duty(first))(renewed) == Refuse(HELD)
-    assert claim_duty("n1", "p9", duty(first))(renewed) == Refuse(HELD)  # the machine's next process
+    assert claim_duty("n2", "p2", duty(first))(renewed) == Refuse(DUTY_HELD)
+    assert claim_duty("n1", "p9", duty(first))(renewed) == Refuse(DUTY_HELD)  # the machine's next process
 
 
 @given(st.lists(st.tuples(st.sampled_from(["p1", "p2", "p3"]), st.integers(0, 3)), max_size=40))
--- a/tests/controlplane/test_distribution.py
+++ b/tests/controlplane/test_distribution.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from iristrack.controlplane.distribution import MOST_AHEAD, MOST_AMENDMENTS, Distribution
+from iristrack.controlplane.distribution import MAX_AMENDMENTS, MAX_QUEUED_BYTES, Distribution
 from iristrack.relay import topics
 from iristrack.relay.topics import TopicTable
 from iristrack.wire.messages import (
@@ -34,11 +34,11 @@
     pushed, other = Peer(), Peer()
     distribution.subscribe(pushed, Subscribe(()))
     distribution.subscribe(other, Subscribe((), push=False))
-    distribution.hear(update(topics.CONFIGURATION, 3))
-    distribution.hear(update("often", 1))
+    distribution.receive(update(topics.CONFIGURATION, 3))
+    distribution.receive(update("often", 1))
     assert pushed.take() == [update(topics.CONFIGURATION, 3), update("often", 1)]
     assert other.take() == [heartbeat(Version(topics.CONFIGURATION, 3))]
-    distribution.hear(update(topics.CONFIGURATION, 2))
+    distribution.receive(update(topics.CONFIGURATION, 2))
     assert other.take() == []
 
 
@@ -54,7 +54,7 @@
     distribution.subscribe(peer, Subscribe((Version("b", 5),)))
     assert peer.take() == [update("a", 1)]
     distribution.publish(update("a", 2))
-    distribution.hear(update("b", 6))
+    distribution.receive(update("b", 6))
     assert peer.take() == [update("a", 2), update("b", 6)]
 
 
@@ -76,7 +76,7 @@
     peer = Peer()
     distribution.subscribe(peer, Subscribe((), push=False, catch_up=False))
     assert peer.take() == []
-    distribution.hear(update(topics.CONFIGURATION, 2))
+    distribution.receive(update(topics.CONFIGURATION, 2))
     assert peer.take() == [heartbeat(Version(topics.CONFIGURATION, 2))]
     distribution.subscribe(peer, Subscribe((), push=False))
     assert peer.take() == [update(topics.CONFIGURATION, 2)]
@@ -113,7 +113,7 @@
     slow, quick = Peer(), Peer()
     distribution.subscribe(slow, Subscribe(()))
     distribution.subscribe(quick, Subscribe(()))
-    slow.queued = MOST_AHEAD + 1
+    slow.queued = MAX_QUEUED_BYTES + 1
     for sequence in range(1, 60):
         distribution.publish(update("a", sequence))
     assert slow.take() == []
@@ -129,7 +129,7 @@
     distribution, _ = make()
     member = Peer()
     distribution.subscribe(member, Subscribe(()), member=True)
-    distribution.hear(update("a", 1))
+    distribution.receive(update("a", 1))
     assert member.take() == []
     distribution.on_heartbeat(member, heartbeat())
     assert member.take() == [update("a", 1)]
@@ -158,7 +158,7 @@
     distribution.publish(update("a", 2))
     distribution.publish(update("a", 2))
     distribution.publish(update("a", 1))
-    distribution.hear(update("a", 3))
+    distribution.receive(update("a", 3))
     assert told == [update("a", 2)]
 
 
@@ -167,13 +167,13 @@
     learned: list[Update] = []
     distribution.on_learned.append(learned.append)
     for news in (update("a", 2), update("a", 1), update("a", 2), update("a", 3)):
-        distribution.hear(news)
+        distribution.receive(news)
     assert learned == [update("a", 2), update("a", 3)]
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["publish", "hear", "heartbeat", "subscribe", "pull"]),
+        st.sampled_from(["publish", "receive", "heartbeat", "subscribe", "pull"]),
         st.sampled_from("ab"),
         st.integers(0, 12),
         st.booleans(),
@@ -206,7 +206,7 @@
 
     peer = connect()
     for step, topic, sequence, lost in steps:
-        if step in ("publish", "hear"):
+        if step in ("publish", "receive"):
             news = update(topic, sequence)
             if sequence > newest.get(topic, -1):
                 newest[topic] = sequence
@@ -233,13 +233,13 @@
 
 def test_who_has_the_one_before_is_sent_the_amendment_alone() -> None:
     distribution, _ = make()
-    distribution.hear(configured(1))
+    distribution.receive(configured(1))
     following, pulling, newcomer = Peer(), Peer(), Peer()
     distribution.subscribe(following, Subscribe(()))
     distribution.subscribe(pulling, Subscribe((Version(topics.CONFIGURATION, 1),), push=False))
     following.take()
-    distribution.hear(configured(2, b"two"))
-    distribution.hear(configured(3, b"three"))
+    distribution.receive(configured(2, b"two"))
+    distribution.receive(configured(3, b"three"))
     amendments = [ConfigurationAmendment(2, b"two"), ConfigurationAmendment(3, b"three")]
     assert following.take() == amendments
     pulling.take()
@@ -253,9 +253,9 @@
     distribution, _ = make()
     peer = Peer()
     distribution.subscribe(peer, Subscribe((Version(topics.CONFIGURATION, 1),)))
-    distribution.hear(configured(3, b"three"))  # the second was never heard of here
+    distribution.receive(configured(3, b"three"))  # the second was never heard of here
     assert peer.take() == [configured(3, b"three")]
-    distribution.hear(configured(4))
+    distribution.receive(configured(4))
     assert peer.take() == [configured(4)]
 
 
@@ -264,18 +264,18 @@
     peer = Peer()
     distribution.subscribe(peer, Subscribe((Version(topics.CONFIGURATION, 1),)))
     whole = configured(2, random.Random(7).randbytes(400), size=10)
-    distribution.hear(whole)
+    distribution.receive(whole)
     assert peer.take() == [ConfigurationAmendment(2, random.Random(7).randbytes(400))]
     again = Peer()
-    distribution.hear(configured(3, random.Random(8).randbytes(400), size=10))
+    distribution.receive(configured(3, random.Random(8).randbytes(400), size=10))
     distribution.subscribe(again, Subscribe((Version(topics.CONFIGURATION, 1),)))
     assert again.take() == [configured(3, random.Random(8).randbytes(400), size=10)]
 
 
 def test_the_amendments_that_are_kept_are_bounded() -> None:
     distribution, _ = make()
-    for sequence in range(1, MOST_AMENDMENTS + 10):
-        distribution.hear(configured(sequence, b"a"))
+    for sequence in range(1, MAX_AMENDMENTS + 10):
+        distribution.receive(configured(sequence, b"a"))
     peer = Peer()
     distribution.subscribe(peer, Subscribe((Version(topics.CONFIGURATION, 2),)))
-    assert peer.take() == [configured(MOST_AMENDMENTS + 9, b"a")]
+    assert peer.take() == [configured(MAX_AMENDMENTS + 9, b"a")]
--- a/tests/controlplane/test_key_leases.py
+++ b/tests/controlplane/test_key_leases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from iristrack.controlplane.key_leases import GATHER_NS, READ_NS, KeyLeases
+from iristrack.controlplane.key_leases import BATCH_WINDOW_NS, QUERY_TIMEOUT_NS, KeyLeases
 from iristrack.simulation.virtual_time import VirtualScheduler, World
 from iristrack.wire.messages import KeyLeaseGrant, KeyLeaseRequest, MembersValue, NewestAnswer, NewestQuery
 from tests.controlplane.peers import Peer
@@ -35,7 +35,7 @@
 
     def question(self) -> NewestQuery:
         """The question that is sent next, to all others."""
-        self.pass_time(GATHER_NS)
+        self.pass_time(BATCH_WINDOW_NS)
         members = [member for member, _ in self.sent]
         assert members == ["b:1", "c:1"]
         query = self.sent[0][1]
@@ -43,7 +43,7 @@
         return query
 
     def hear(self, query: NewestQuery, acceptor: str, sequence: int) -> None:
-        self.leases.heard(NewestAnswer(query.call, acceptor, query.members, sequence))
+        self.leases.handle_answer(NewestAnswer(query.call, acceptor, query.members, sequence))
 
 
 @pytest.fixture
@@ -81,7 +81,7 @@
     member.leases.request(peer, KeyLeaseRequest(1))
     lost = member.question()
     member.leases.request(other, KeyLeaseRequest(2))
-    member.pass_time(READ_NS)
+    member.pass_time(QUERY_TIMEOUT_NS)
     member.hear(lost, "b:1", 4)
     assert peer.take() == []
     member.hear(member.question(), "b:1", 4)
@@ -108,5 +108,5 @@
 def test_before_a_member_set_is_known_nothing_is_asked(member: Member) -> None:
     member.register.founded = False
     member.leases.request(Peer(), KeyLeaseRequest(1))
-    member.pass_time(GATHER_NS)
+    member.pass_time(BATCH_WINDOW_NS)
     assert member.sent == []
--- a/tests/controlplane/test_list_poller.py
+++ b/tests/controlplane/test_list_poller.py
@@ -68,9 +68,9 @@
 
 @pytest.fixture(autouse=True)
 def short_times(monkeypatch) -> None:
-    for name in ("TICK_NS", "POLL_NS", "FAST_POLL_NS"):
+    for name in ("TICK_NS", "POLL_INTERVAL_NS", "FAST_POLL_INTERVAL_NS"):
         monkeypatch.setattr(list_poller, name, MS)
-    monkeypatch.setattr(list_poller, "REFRESH_NS", 10 * MS)
+    monkeypatch.setattr(list_poller, "REPUBLISH_INTERVAL_NS", 10 * MS)
 
 
 def test_a_list_is_told_at_once_when_it_changes_and_again_while_it_stands() -> None:
--- a/tests/controlplane/test_load_hub.py
+++ b/tests/controlplane/test_load_hub.py
@@ -54,9 +54,9 @@
     """Each takes its own share off (`tests/dataplane/test_control_link.py`)."""
     hub, _ = make(clock)
     first, second = Peer(), Peer()
-    hub.from_sidecar(first, loads("edge-1", 1, {"a": 1, "b": 2}))
-    hub.from_sidecar(second, loads("edge-2", 1, {"b": 4}))
-    hub.from_member(loads("core-2", 1, {"b": 8, "c": 16}))
+    hub.on_sidecar_loads(first, loads("edge-1", 1, {"a": 1, "b": 2}))
+    hub.on_sidecar_loads(second, loads("edge-2", 1, {"b": 4}))
+    hub.on_member_loads(loads("core-2", 1, {"b": 8, "c": 16}))
     clock.turn()
     expected = {"a": (1, 2), "b": (14, 28), "c": (16, 32)}
     assert as_dict(first.take()[-1]) == as_dict(second.take()[-1]) == expected
@@ -65,17 +65,17 @@
 def test_who_reports_first_gets_the_whole_sum_and_then_what_changes(clock: Clock) -> None:
     hub, told = make(clock)
     first, second = Peer(), Peer()
-    hub.from_sidecar(first, loads("edge-1", 1, {"a": 1, "b": 2}))
+    hub.on_sidecar_loads(first, loads("edge-1", 1, {"a": 1, "b": 2}))
     clock.turn()
-    hub.from_sidecar(second, loads("edge-2", 1, {"b": 4}))
+    hub.on_sidecar_loads(second, loads("edge-2", 1, {"b": 4}))
     clock.turn()
-    hub.from_sidecar(second, loads("edge-2", 2, {"b": 5}))
+    hub.on_sidecar_loads(second, loads("edge-2", 2, {"b": 5}))
     clock.turn()
     whole, change = second.take()
     assert (whole.partial, as_dict(whole)) == (False, {"a": (1, 2), "b": (6, 12)})
     assert (change.partial, as_dict(change)) == (True, {"b": (7, 14)})
     assert [message.partial for message in told] == [False, True, True]
-    hub.member_joined()
+    hub.on_member_dialed()
     clock.turn()
     assert (told[-1].partial, as_dict(told[-1])) == (False, {"a": (1, 2), "b": (7, 14)})
 
@@ -83,12 +83,12 @@
 def test_a_sidecar_that_reports_elsewhere_by_now_is_told_no_more(clock: Clock) -> None:
     hub, _ = make(clock)
     moved, stays = Peer(), Peer()
-    hub.from_sidecar(moved, loads("edge-1", 1, {"a": 1}))
+    hub.on_sidecar_loads(moved, loads("edge-1", 1, {"a": 1}))
     clock.turn(900_000_000)
-    hub.from_sidecar(stays, loads("edge-2", 1, {"a": 1}))
+    hub.on_sidecar_loads(stays, loads("edge-2", 1, {"a": 1}))
     clock.turn(200_000_000)
     moved.take()
-    hub.from_sidecar(stays, loads("edge-2", 2, {"a": 2}))
+    hub.on_sidecar_loads(stays, loads("edge-2", 2, {"a": 2}))
     clock.turn()
     assert moved.take() == []
     assert stays.take()
@@ -100,9 +100,9 @@
     hub, told = make(stand_in)
     peers = [Peer() for _ in sidecars]
     for number, (peer, requests) in enumerate(zip(peers, sidecars, strict=True)):
-        hub.from_sidecar(peer, loads(f"edge-{number}", 1, requests))
+        hub.on_sidecar_loads(peer, loads(f"edge-{number}", 1, requests))
     for number, requests in enumerate(members):
-        hub.from_member(loads(f"core-{number + 2}", 1, requests))
+        hub.on_member_loads(loads(f"core-{number + 2}", 1, requests))
     stand_in.turn()
 
     def total(parts) -> dict[str, tuple[int, int]]:
@@ -120,11 +120,11 @@
 def test_nothing_new_is_nothing_told(clock: Clock) -> None:
     hub, told = make(clock)
     peer = Peer()
-    hub.from_sidecar(peer, loads("edge-1", 1, {"a": 1}))
+    hub.on_sidecar_loads(peer, loads("edge-1", 1, {"a": 1}))
     clock.turn()
     peer.take()
     told.clear()
-    hub.from_sidecar(peer, loads("edge-1", 1, {"a": 9}))  # the same count: told before
+    hub.on_sidecar_loads(peer, loads("edge-1", 1, {"a": 9}))  # the same count: told before
     clock.turn()
     assert (peer.take(), told) == ([], [])
 
@@ -132,7 +132,7 @@
 def test_sums_are_counted_so_that_an_older_one_is_known(clock: Clock) -> None:
     hub, told = make(clock)
     for count in (1, 2, 3):
-        hub.from_sidecar(Peer(), loads("edge-1", count, {"a": count}))
+        hub.on_sidecar_loads(Peer(), loads("edge-1", count, {"a": count}))
         clock.turn()
     assert [message.count for message in told] == [1, 2, 3]
     assert all(message.node == "core-1" for message in told)
@@ -141,11 +141,11 @@
 def test_a_sidecar_that_fell_silent_counts_for_nothing(clock: Clock) -> None:
     hub, _ = make(clock)
     silent, peer = Peer(), Peer()
-    hub.from_sidecar(silent, loads("edge-1", 1, {"a": 5}))
-    hub.from_sidecar(peer, loads("edge-2", 1, {"b": 1}))
+    hub.on_sidecar_loads(silent, loads("edge-1", 1, {"a": 5}))
+    hub.on_sidecar_loads(peer, loads("edge-2", 1, {"b": 1}))
     clock.turn()
     clock.turn(900_000_000)
-    hub.from_sidecar(peer, loads("edge-2", 2, {"b": 2}))
+    hub.on_sidecar_loads(peer, loads("edge-2", 2, {"b": 2}))
     clock.turn(200_000_000)
     table: dict[str, ServerLoad] = {}
     for message in peer.take():
@@ -158,9 +158,9 @@
 def test_a_sidecar_that_reconnects_is_told_over_its_new_connection_alone(clock: Clock) -> None:
     hub, _ = make(clock)
     old, new = Peer(), Peer()
-    hub.from_sidecar(old, loads("edge-1", 1, {"a": 5}))
+    hub.on_sidecar_loads(old, loads("edge-1", 1, {"a": 5}))
     old.closed = True
-    hub.from_sidecar(new, loads("edge-1", 2, {"a": 6}))
+    hub.on_sidecar_loads(new, loads("edge-1", 2, {"a": 6}))
     clock.turn()
     assert old.take() == []
     assert as_dict(new.take()[-1]) == {"a": (6, 12)}
@@ -169,8 +169,8 @@
 def test_the_sidecars_of_all_members_are_counted_and_set_the_pace(clock: Clock) -> None:
     hub, told = make(clock)
     sidecar = Peer()
-    hub.from_sidecar(sidecar, loads("edge-1", 1, {"a": 1}))
-    hub.from_member(ServerLoads("core-2", 1, (ServerLoad("a", 1, 2),), sidecars=79))
+    hub.on_sidecar_loads(sidecar, loads("edge-1", 1, {"a": 1}))
+    hub.on_member_loads(ServerLoads("core-2", 1, (ServerLoad("a", 1, 2),), sidecars=79))
     clock.turn()
     assert (told[-1].sidecars, sidecar.take()[-1].sidecars) == (1, 80)
     ((due, _),) = clock.calls
--- a/tests/controlplane/test_member_changes.py
+++ b/tests/controlplane/test_member_changes.py
@@ -116,7 +116,7 @@
 def test_the_next_member_proposes_what_the_first_does_not(monkeypatch) -> None:
     """The first one is connected and does nothing: frozen, slow, or cut off in a way that the others cannot see."""
     monkeypatch.setattr(member_changes, "TICK_NS", 1_000_000)
-    monkeypatch.setattr(member_changes, "TURN_NS", 5_000_000)
+    monkeypatch.setattr(member_changes, "TAKEOVER_DELAY_NS", 5_000_000)
     monkeypatch.setattr(membership_policy, "SILENCE_THRESHOLD_NS", 1_000_000)
     monkeypatch.setattr(membership_policy, "REPLACEMENT_DELAY_NS", 1_000_000)
     core = Core()
@@ -188,7 +188,7 @@
 def shrinking_core(monkeypatch) -> tuple[Core, MembersValue]:
     """Four members that hold a value, of which the last is taken out."""
     monkeypatch.setattr(member_changes, "TICK_NS", 1_000_000)
-    monkeypatch.setattr(member_changes, "TURN_NS", 5_000_000)
+    monkeypatch.setattr(member_changes, "TAKEOVER_DELAY_NS", 5_000_000)
     core = Core(FOUR_MEMBERS)
     first = FOUR_MEMBERS[0]
     four = MembersValue(FOUNDED, FOUR_MEMBERS)
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -40,11 +40,11 @@
 
 
 def make_api(register, publish, in_quorum=lambda: True) -> OperatorApi:
-    def tell_status(with_servers: bool) -> dict:
+    def make_status(with_servers: bool) -> dict:
         return STATUS | {"servers": with_servers}
 
     return OperatorApi(
-        register=register, publish=publish, tell_status=tell_status, in_quorum=in_quorum, log=Log()
+        register=register, publish=publish, make_status=make_status, in_quorum=in_quorum, log=Log()
     )
 
 
--- a/tests/controlplane/test_prefix_cache_watch.py
+++ b/tests/controlplane/test_prefix_cache_watch.py
@@ -21,11 +21,11 @@
     follower, other = Peer(), Peer()
     for peer in (follower, other):
         kept.subscribe(peer, KeptSubscribe(own_only=False))
-    kept.from_member(KeptBatch((CHANGE,)))
+    kept.on_member_batch(KeptBatch((CHANGE,)))
     kept._flush_now()
     assert follower.take() == other.take() == [KeptBatch((CHANGE,))]
     kept.subscribe(follower, KeptSubscribe(own_only=False, ends=True))
-    kept.from_member(KeptBatch((CHANGE,)))
+    kept.on_member_batch(KeptBatch((CHANGE,)))
     kept._flush_now()
     assert follower.take() == []
     assert other.take() == [KeptBatch((CHANGE,))]
@@ -33,7 +33,7 @@
 
 def test_one_that_comes_back_is_told_all_there_is(kept: PrefixCacheWatch) -> None:
     follower = Peer()
-    kept.from_member(KeptBatch((CHANGE,)))
+    kept.on_member_batch(KeptBatch((CHANGE,)))
     kept.subscribe(follower, KeptSubscribe(own_only=False))
     kept.subscribe(follower, KeptSubscribe(own_only=False, ends=True))
     kept.subscribe(follower, KeptSubscribe(own_only=False, ends=True))  # twice is no fault
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -25,4 +25,4 @@
 def test_a_quorum_is_more_than_half_of_the_set(members, heard, holds: bool) -> None:
     register = SimpleNamespace(name="a", members=members)
     dialers = SimpleNamespace(heard_within=lambda ns: list(heard))
-    assert QuorumContact(register, dialers).holds() is holds
+    assert QuorumContact(register, dialers).has_quorum() is holds
--- a/tests/controlplane/test_rollout_changes.py
+++ b/tests/controlplane/test_rollout_changes.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from iristrack.controlplane.changes import (
-    MOST_ROLLOUTS,
+    MAX_ROLLOUTS,
     ROLLOUT_DIFFERS,
-    ROLLOUT_RUNS,
+    ROLLOUT_RUNNING,
     TOO_MANY_ROLLOUTS,
     BeginRollout,
     advance_rollout,
@@ -42,8 +42,8 @@
 
 def test_another_version_waits_for_the_end_of_the_one_that_runs() -> None:
     value = begin(b"")
-    assert begin(value, version="v3") == Refuse(ROLLOUT_RUNS)
-    assert begin(value, over_ms=9_000) == Refuse(ROLLOUT_RUNS)
+    assert begin(value, version="v3") == Refuse(ROLLOUT_RUNNING)
+    assert begin(value, over_ms=9_000) == Refuse(ROLLOUT_RUNNING)
     after = begin(advanced(value, 1, phase=FINISHED), version="v3")
     assert (state(after).version, state(after).number) == ("v3", 2)
 
@@ -56,7 +56,7 @@
 
 def test_services_are_rolled_out_apart_and_their_number_is_bounded() -> None:
     value = b""
-    for number in range(MOST_ROLLOUTS):
+    for number in range(MAX_ROLLOUTS):
         value = begin(value, service=f"s{number}")
     assert begin(value, service="one more") == Refuse(TOO_MANY_ROLLOUTS)
     assert state(value, "s0").phase == RUNNING
