--- a/tests/controlplane/calls.py
+++ b/tests/controlplane/calls.py
@@ -25,7 +25,7 @@
 
 
 class Log:
-    """Keeps what is logged."""
+    """A fake logger that records log lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
--- a/tests/controlplane/peers.py
+++ b/tests/controlplane/peers.py
@@ -1,4 +1,4 @@
-"""Connections that keep what is sent over them."""
+"""Fake peer connections that record what is sent over them."""
 
 from __future__ import annotations
 
--- a/tests/controlplane/test_changes.py
+++ b/tests/controlplane/test_changes.py
@@ -58,8 +58,8 @@
     return json.dumps(document).encode()
 
 
-def amending(body: bytes, base: int, most_body: int = MAX_BODY_BYTES) -> AmendConfiguration:
-    return AmendConfiguration(read_amendment(body).ok, body, base, most_body)
+def amending(body: bytes, base: int, max_body_bytes: int = MAX_BODY_BYTES) -> AmendConfiguration:
+    return AmendConfiguration(read_amendment(body).ok, body, base, max_body_bytes)
 
 
 def amend(value: bytes, revision: int, base: int, *labels: str, remove: tuple[str, ...] = ()):
@@ -70,7 +70,7 @@
     return [row["label"] for row in json.loads(decoded(value).body)["services"]]
 
 
-def test_an_amendment_alters_what_it_names_and_is_kept_beside_the_whole() -> None:
+def test_an_amendment_alters_what_it_names_and_is_stored_beside_the_configuration() -> None:
     value = amend(replace(b"", 5, 0), 9, 5, "extra")
     assert services(value) == ["pool", "extra"]
     current = decoded(value)
@@ -80,7 +80,7 @@
     assert decoded(replace(value, 12, 9)).amendment == b""
 
 
-def test_an_amendment_is_refused_and_known_again_on_the_terms_of_a_replacement() -> None:
+def test_an_amendment_is_refused_and_recognised_by_the_rules_of_a_replacement() -> None:
     first = replace(b"", 5, 0)
     taken = amend(first, 9, 5, "extra")
     assert amend(taken, 9, 5, "extra") == Unchanged()
@@ -91,7 +91,7 @@
     assert amend(taken, 8, 9, "other") == Refuse(NOT_HIGHER)
 
 
-def test_of_an_amendment_and_a_replacement_with_one_number_one_is_taken() -> None:
+def test_only_one_of_an_amendment_and_a_replacement_with_the_same_revision_is_taken() -> None:
     first = replace(b"", 5, 0)
     assert amend(replace(first, 9, 5, "other"), 9, 5, "extra") == Refuse(BASE_DIFFERS)
     assert replace(amend(first, 9, 5, "extra"), 9, 5, "other") == Refuse(BASE_DIFFERS)
@@ -103,37 +103,37 @@
     assert [finding.place for finding in change.findings] == ["X-Iristrack-Base-Version"]
 
 
-def test_an_amendment_whose_result_is_invalid_tells_what_is_wrong_with_it() -> None:
+def test_an_amendment_whose_result_is_invalid_reports_the_faults() -> None:
     route = {
         "label": "r", "hostname": "a.example", "path_prefix": "/a/", "route_kind": "safe", "timeout_ms": 1,
         "target_latency_ms": 1, "target": "pool",
     }  # fmt: skip
-    whole = {"revision": 5, "route_table": [route], "services": [{"label": "pool"}]}
-    content = json.dumps(whole).encode()
+    original = {"revision": 5, "route_table": [route], "services": [{"label": "pool"}]}
+    content = json.dumps(original).encode()
     value = replace_configuration(parse_configuration(content), content, 0)(b"")
     change = amending(amendment_body(9, remove=("pool",)), 5)
     assert change(value) == Refuse(INVALID)
     assert [finding.place for finding in change.findings] == ["route_table[0].target"]
 
 
-def test_an_amendment_cannot_make_a_configuration_longer_than_it_may_be() -> None:
+def test_an_amendment_cannot_exceed_the_size_limit_of_a_configuration() -> None:
     value = replace(b"", 5, 0)
-    grown = amendment_body(9, "x" * 500)
-    assert amending(grown, 5, most_body=400)(value) == Refuse(INVALID)
-    assert isinstance(amending(grown, 5)(value), bytes)
+    long_amendment = amendment_body(9, "x" * 500)
+    assert amending(long_amendment, 5, max_body_bytes=400)(value) == Refuse(INVALID)
+    assert isinstance(amending(long_amendment, 5)(value), bytes)
 
 
 # ---- configurations
 
 
-def test_the_first_builds_on_nothing() -> None:
+def test_the_first_configuration_has_no_base() -> None:
     value = replace(b"", 5, 0)
     taken = (TakenRevision(5, configuration(5).digest),)
     assert decoded(value) == ConfigurationValue(1, 5, body(5), taken)
     assert replace(b"", 5, 3) == Refuse(BASE_DIFFERS)
 
 
-def test_the_next_builds_on_the_current_one_and_is_higher() -> None:
+def test_the_next_configuration_names_the_current_one_as_base_and_is_higher() -> None:
     first = replace(b"", 5, 0)
     second = replace(first, 9, 5)
     assert (decoded(second).sequence, decoded(second).revision, decoded(second).body) == (2, 9, body(9))
@@ -143,14 +143,14 @@
     assert replace(second, 9, 9, "other") == Refuse(NOT_HIGHER)
 
 
-def test_one_of_two_on_the_same_base_is_taken() -> None:
+def test_only_one_of_two_configurations_on_the_same_base_is_taken() -> None:
     first = replace(b"", 5, 0)
     won = replace(first, 7, 5, "one")
     assert replace(won, 7, 5, "other") == Refuse(BASE_DIFFERS)
     assert replace(won, 8, 5, "other") == Refuse(BASE_DIFFERS)
 
 
-def test_what_was_taken_already_is_taken_even_after_newer_ones() -> None:
+def test_a_repeat_is_recognised_even_after_newer_configurations() -> None:
     value = replace(b"", 5, 0)
     assert replace(value, 5, 0) == Unchanged()
     for revision in range(6, 20):
@@ -170,7 +170,7 @@
 
 
 def test_a_repeat_that_may_have_been_taken_before_the_history_begins_is_not_refused() -> None:
-    """412 would say that it was never taken."""
+    """A refusal with 412 would say that it was never taken."""
     value = b""
     for revision in range(1, MAX_TAKEN_REVISIONS + 40):
         value = replace(value, revision, revision - 1)
@@ -181,11 +181,11 @@
     assert replace(value, oldest, oldest - 1, "other") == Refuse(BASE_FORGOTTEN)
 
 
-def test_sidecars_are_told_the_newest_entry_of_the_history_alone() -> None:
+def test_sidecars_are_sent_only_the_newest_entry_of_the_history() -> None:
     value = replace(replace(b"", 5, 0), 9, 5)
-    told = decode_value(relayed_configuration(decoded(value)), ConfigurationValue)
-    assert (told.sequence, told.revision, told.body) == (2, 9, body(9))
-    assert told.taken == (TakenRevision(9, configuration(9).digest),)
+    relayed = decode_value(relayed_configuration(decoded(value)), ConfigurationValue)
+    assert (relayed.sequence, relayed.revision, relayed.body) == (2, 9, body(9))
+    assert relayed.taken == (TakenRevision(9, configuration(9).digest),)
 
 
 def test_a_fence_that_a_server_refused_is_not_used_again() -> None:
@@ -196,7 +196,7 @@
     assert decode_value(claim_duty("n", "p", None, refused_fence=1)(raised), DutyValue).fence == 2
 
 
-def test_a_change_can_be_asked_again_of_the_same_value() -> None:
+def test_a_change_can_be_evaluated_again_on_the_same_value() -> None:
     change = replace_configuration(configuration(5), body(5), 0)
     assert change(b"") == change(b"")
     assert change(change(b"")) == Unchanged()
@@ -208,13 +208,13 @@
 
 
 class ConfigurationRegister(RuleBasedStateMachine):
-    """The register's value under any calls, against a list of what was taken."""
+    """Compares the register's value after random calls with a list of the configurations taken."""
 
     def __init__(self) -> None:
         super().__init__()
         self.value = b""
         self.taken: list[tuple[int, str]] = []
-        self.bases: list[int] = []  # of those that were taken
+        self.bases: list[int] = []  # bases of the configurations in `taken`
 
     @property
     def revision(self) -> int:
@@ -236,7 +236,7 @@
             self.bases.append(base)
 
     @rule(step=st.integers(1, 3), label=st.sampled_from("ab"))
-    def build_on_the_current_one(self, step: int, label: str) -> None:
+    def replace_the_current_one(self, step: int, label: str) -> None:
         self.call(self.revision + step, self.revision, label)
 
     @rule(revision=st.integers(1, 40), base=st.integers(0, 40), label=st.sampled_from("ab"))
@@ -282,7 +282,7 @@
         assert decode_value(value, VersionsValue) == VersionsValue(changes, named)
 
 
-def test_a_model_too_many_is_refused_and_those_that_are_named_go_on() -> None:
+def test_a_model_beyond_the_limit_is_refused_and_named_ones_can_still_change() -> None:
     value = b""
     for number in range(MAX_MODELS):
         value = name_version(f"m{number}", 1)(value)
@@ -297,25 +297,27 @@
     return decode_value(value, DutyValue)
 
 
-def test_a_vacant_duty_goes_to_whoever_saw_it_so() -> None:
+def test_a_vacant_duty_is_claimed_by_a_process_that_saw_it_vacant() -> None:
     value = claim_duty("n1", "p1", None)(b"")
     assert duty(value) == DutyValue(1, "n1", "p1", 1, 0)
     assert claim_duty("n2", "p2", None)(value) == Refuse(DUTY_HELD)
     assert duty(claim_duty("n2", "p2", duty(value))(value)) == DutyValue(2, "n2", "p2", 2, 0)
 
 
-def test_a_holder_goes_on_with_its_fence() -> None:
+def test_a_holder_keeps_its_fence() -> None:
     value = claim_duty("n1", "p1", None)(b"")
     for renewals in range(1, 4):
         value = claim_duty("n1", "p1", None)(value)
         assert duty(value) == DutyValue(1 + renewals, "n1", "p1", 1, renewals)
 
 
-def test_a_holder_that_lives_is_not_robbed_by_one_who_saw_less() -> None:
+def test_a_renewed_duty_cannot_be_claimed_with_an_older_value() -> None:
     first = claim_duty("n1", "p1", None)(b"")
     renewed = claim_duty("n1", "p1", None)(first)
     assert claim_duty("n2", "p2", duty(first))(renewed) == Refuse(DUTY_HELD)
-    assert claim_duty("n1", "p9", duty(first))(renewed) == Refuse(DUTY_HELD)  # the machine's next process
+    assert claim_duty("n1", "p9", duty(first))(renewed) == Refuse(
+        DUTY_HELD
+    )  # another process of the same machine
 
 
 @given(st.lists(st.tuples(st.sampled_from(["p1", "p2", "p3"]), st.integers(0, 3)), max_size=40))
@@ -335,17 +337,17 @@
 
 
 def test_an_earlier_configuration_on_the_current_base_is_no_repeat() -> None:
-    """It was acknowledged with 200, and did not come into force (review/REPORT.md)."""
+    """Guards against answering such a call with 200 without making its configuration current (review/REPORT.md)."""
     value = replace(b"", 5, 0)
     value = replace(value, 9, 5)
     assert replace(value, 5, 9) == Refuse(NOT_HIGHER)
     assert replace(value, 5, 0) == Unchanged()
     assert replace(value, 9, 5) == Unchanged()
-    assert replace(value, 9, 9) == Unchanged()  # it is in force
+    assert replace(value, 9, 9) == Unchanged()  # it is the current one
     assert replace(value, 5, 5) == Refuse(BASE_DIFFERS)
 
 
-def test_the_oldest_one_that_is_remembered_may_be_a_repeat_on_any_base() -> None:
+def test_the_oldest_configuration_in_the_history_counts_as_a_repeat_on_any_base() -> None:
     value = replace(b"", 1, 0)
     for revision in range(2, MAX_TAKEN_REVISIONS + 3):
         value = replace(value, revision, revision - 1)
--- a/tests/controlplane/test_distribution.py
+++ b/tests/controlplane/test_distribution.py
@@ -20,17 +20,17 @@
 from tests.controlplane.peers import Peer, announcement
 
 
-def make() -> tuple[Distribution, list[Update]]:
-    told: list[Update] = []
-    return Distribution(told.append, announcement), told
+def make_distribution() -> tuple[Distribution, list[Update]]:
+    broadcast: list[Update] = []
+    return Distribution(broadcast.append, announcement), broadcast
 
 
 def update(topic: str, sequence: int) -> Update:
     return Update(topic, sequence, b"%d" % sequence)
 
 
-def test_a_change_is_announced_to_those_whom_another_member_pushes_to() -> None:
-    distribution, _ = make()
+def test_a_change_is_announced_to_subscribers_that_another_member_pushes_to() -> None:
+    distribution, _ = make_distribution()
     pushed, other = Peer(), Peer()
     distribution.subscribe(pushed, Subscribe(()))
     distribution.subscribe(other, Subscribe((), push=False))
@@ -46,8 +46,8 @@
     return Heartbeat("n", "p", 1, known)
 
 
-def test_a_subscriber_is_told_what_it_lacks_and_then_every_change() -> None:
-    distribution, _ = make()
+def test_a_subscriber_is_sent_what_it_lacks_and_then_every_change() -> None:
+    distribution, _ = make_distribution()
     distribution.publish(update("a", 1))
     distribution.publish(update("b", 5))
     peer = Peer()
@@ -58,8 +58,8 @@
     assert peer.take() == [update("a", 2), update("b", 6)]
 
 
-def test_a_subscriber_without_push_is_told_when_it_asks() -> None:
-    distribution, _ = make()
+def test_a_subscriber_without_push_is_sent_updates_on_request() -> None:
+    distribution, _ = make_distribution()
     peer = Peer()
     distribution.subscribe(peer, Subscribe((), push=False))
     distribution.publish(update("a", 1))
@@ -69,9 +69,9 @@
     assert peer.take() == [update("a", 1)]
 
 
-def test_a_subscriber_that_wants_no_catch_up_is_told_of_changes_alone() -> None:
-    """Each sidecar is connected with every member; the whole of every topic from each is a copy too many."""
-    distribution, _ = make()
+def test_a_subscriber_without_catch_up_is_sent_only_announcements_of_changes() -> None:
+    """Each sidecar is connected to every member; a full copy of each topic from all of them would be redundant."""
+    distribution, _ = make_distribution()
     distribution.publish(update(topics.CONFIGURATION, 1))
     peer = Peer()
     distribution.subscribe(peer, Subscribe((), push=False, catch_up=False))
@@ -82,8 +82,8 @@
     assert peer.take() == [update(topics.CONFIGURATION, 2)]
 
 
-def test_a_later_subscription_takes_the_place_of_the_earlier() -> None:
-    distribution, _ = make()
+def test_a_later_subscription_replaces_the_earlier_one() -> None:
+    distribution, _ = make_distribution()
     peer = Peer()
     distribution.subscribe(peer, Subscribe((), push=False))
     distribution.subscribe(peer, Subscribe(()))
@@ -94,22 +94,22 @@
     assert peer.take() == []
 
 
-def test_what_was_pushed_over_a_connection_is_not_sent_again_over_it_but_over_the_next() -> None:
-    """It is under way; to send it with every heartbeat until it has arrived fills a slow link with copies."""
-    distribution, _ = make()
-    peer, again = Peer(), Peer()
+def test_a_pushed_value_is_not_sent_twice_over_one_connection_but_over_the_next() -> None:
+    """Sending a value again with every heartbeat until it arrives would fill a slow link with copies."""
+    distribution, _ = make_distribution()
+    peer, newer_peer = Peer(), Peer()
     distribution.subscribe(peer, Subscribe(()))
     distribution.publish(update("a", 1))
     assert peer.take() == [update("a", 1)]
     distribution.on_heartbeat(peer, heartbeat())
     distribution.subscribe(peer, Subscribe(()))
     assert peer.take() == []
-    distribution.subscribe(again, Subscribe(()))
-    assert again.take() == [update("a", 1)]
+    distribution.subscribe(newer_peer, Subscribe(()))
+    assert newer_peer.take() == [update("a", 1)]
 
 
-def test_a_slow_link_is_sent_the_newest_value_and_none_between() -> None:
-    distribution, _ = make()
+def test_a_slow_link_is_sent_the_newest_value_and_skips_those_between() -> None:
+    distribution, _ = make_distribution()
     slow, quick = Peer(), Peer()
     distribution.subscribe(slow, Subscribe(()))
     distribution.subscribe(quick, Subscribe(()))
@@ -125,8 +125,8 @@
     assert slow.take() == []
 
 
-def test_a_core_member_is_told_by_the_first_to_know_and_by_others_only_after_its_heartbeat() -> None:
-    distribution, _ = make()
+def test_a_core_member_is_sent_a_change_of_another_member_only_after_its_heartbeat() -> None:
+    distribution, _ = make_distribution()
     member = Peer()
     distribution.subscribe(member, Subscribe(()), member=True)
     distribution.receive(update("a", 1))
@@ -135,16 +135,16 @@
     assert member.take() == [update("a", 1)]
 
 
-def test_heartbeats_of_those_who_did_not_subscribe_are_not_answered() -> None:
-    distribution, _ = make()
+def test_heartbeats_of_non_subscribers_are_not_answered() -> None:
+    distribution, _ = make_distribution()
     distribution.publish(update("a", 1))
     peer = Peer()
     distribution.on_heartbeat(peer, heartbeat())
     assert peer.take() == []
 
 
-def test_who_is_gone_is_told_nothing() -> None:
-    distribution, _ = make()
+def test_a_connection_that_has_ended_is_sent_nothing() -> None:
+    distribution, _ = make_distribution()
     peer = Peer()
     distribution.subscribe(peer, Subscribe(()))
     distribution.forget(peer)
@@ -153,21 +153,21 @@
     assert peer.take() == []
 
 
-def test_only_what_is_new_here_goes_to_the_other_members_and_only_if_it_began_here() -> None:
-    distribution, told = make()
+def test_only_new_values_published_here_are_broadcast_to_the_other_members() -> None:
+    distribution, broadcast = make_distribution()
     distribution.publish(update("a", 2))
     distribution.publish(update("a", 2))
     distribution.publish(update("a", 1))
     distribution.receive(update("a", 3))
-    assert told == [update("a", 2)]
+    assert broadcast == [update("a", 2)]
 
 
-def test_what_was_learned_is_told_within_this_process_once() -> None:
-    distribution, _ = make()
+def test_each_new_value_is_reported_once_within_the_process() -> None:
+    distribution, _ = make_distribution()
     learned: list[Update] = []
     distribution.on_learned.append(learned.append)
-    for news in (update("a", 2), update("a", 1), update("a", 2), update("a", 3)):
-        distribution.receive(news)
+    for change in (update("a", 2), update("a", 1), update("a", 2), update("a", 3)):
+        distribution.receive(change)
     assert learned == [update("a", 2), update("a", 3)]
 
 
@@ -184,8 +184,8 @@
 
 @given(STEPS)
 def test_a_subscriber_never_gets_an_older_value_and_catches_up(steps) -> None:
-    """What a connection loses ends it: the subscriber comes back over another one."""
-    distribution, _ = make()
+    """A connection that loses messages ends, and the subscriber opens another one."""
+    distribution, _ = make_distribution()
     table = TopicTable()
     newest: dict[str, int] = {}
 
@@ -196,21 +196,21 @@
 
     def receive(peer: Peer, lost: bool) -> Peer:
         sent = peer.take()
-        assert all(news.sequence == newest[news.topic] for news in sent)
+        assert all(change.sequence == newest[change.topic] for change in sent)
         if lost and sent:
             distribution.forget(peer)
             return receive(connect(), lost=False)
-        for news in sent:
-            assert table.learn(news), "sent twice"
+        for change in sent:
+            assert table.learn(change), "sent twice"
         return peer
 
     peer = connect()
     for step, topic, sequence, lost in steps:
         if step in ("publish", "receive"):
-            news = update(topic, sequence)
+            change = update(topic, sequence)
             if sequence > newest.get(topic, -1):
                 newest[topic] = sequence
-            getattr(distribution, step)(news)
+            getattr(distribution, step)(change)
         elif step == "heartbeat":
             distribution.on_heartbeat(peer, heartbeat(*table.versions()))
         else:
@@ -231,8 +231,8 @@
     return Update(topics.CONFIGURATION, sequence, encode_value(value))
 
 
-def test_who_has_the_one_before_is_sent_the_amendment_alone() -> None:
-    distribution, _ = make()
+def test_a_subscriber_with_the_previous_configuration_is_sent_only_the_amendment() -> None:
+    distribution, _ = make_distribution()
     distribution.receive(configured(1))
     following, pulling, newcomer = Peer(), Peer(), Peer()
     distribution.subscribe(following, Subscribe(()))
@@ -249,31 +249,31 @@
     assert newcomer.take() == [configured(3, b"three")]
 
 
-def test_who_lacks_one_that_is_no_amendment_is_sent_the_whole() -> None:
-    distribution, _ = make()
+def test_a_subscriber_is_sent_the_whole_configuration_if_an_amendment_is_missing() -> None:
+    distribution, _ = make_distribution()
     peer = Peer()
     distribution.subscribe(peer, Subscribe((Version(topics.CONFIGURATION, 1),)))
-    distribution.receive(configured(3, b"three"))  # the second was never heard of here
+    distribution.receive(configured(3, b"three"))  # sequence 2 was never received
     assert peer.take() == [configured(3, b"three")]
     distribution.receive(configured(4))
     assert peer.take() == [configured(4)]
 
 
-def test_amendments_that_are_longer_than_the_whole_are_not_sent() -> None:
-    distribution, _ = make()
+def test_amendments_longer_than_the_whole_configuration_are_not_sent() -> None:
+    distribution, _ = make_distribution()
     peer = Peer()
     distribution.subscribe(peer, Subscribe((Version(topics.CONFIGURATION, 1),)))
     whole = configured(2, random.Random(7).randbytes(400), size=10)
     distribution.receive(whole)
     assert peer.take() == [ConfigurationAmendment(2, random.Random(7).randbytes(400))]
-    again = Peer()
+    newer_peer = Peer()
     distribution.receive(configured(3, random.Random(8).randbytes(400), size=10))
-    distribution.subscribe(again, Subscribe((Version(topics.CONFIGURATION, 1),)))
-    assert again.take() == [configured(3, random.Random(8).randbytes(400), size=10)]
+    distribution.subscribe(newer_peer, Subscribe((Version(topics.CONFIGURATION, 1),)))
+    assert newer_peer.take() == [configured(3, random.Random(8).randbytes(400), size=10)]
 
 
-def test_the_amendments_that_are_kept_are_bounded() -> None:
-    distribution, _ = make()
+def test_the_number_of_kept_amendments_is_bounded() -> None:
+    distribution, _ = make_distribution()
     for sequence in range(1, MAX_AMENDMENTS + 10):
         distribution.receive(configured(sequence, b"a"))
     peer = Peer()
--- a/tests/controlplane/test_founding.py
+++ b/tests/controlplane/test_founding.py
@@ -1,4 +1,4 @@
-"""The first member set is one, whoever proposes it, and nothing else is voted on before."""
+"""Tests of the bootstrap: exactly one first member set results, and no other register is changed before."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from iristrack.wire.values import decode_value
 from tests.controlplane.test_operator_api import MEMBERS, Core
 
-PATIENCE_NS = 5_000_000_000
+TIMEOUT_NS = 5_000_000_000
 
 
-def test_a_set_that_was_agreed_on_stands() -> None:
+def test_an_agreed_member_set_is_kept() -> None:
     first = propose_members(("a", "b"))(b"")
     assert decode_value(first, MembersValue) == MembersValue(FOUNDED, ("a", "b"))
     assert propose_members(("a", "b", "c"))(first) == Unchanged()
     assert UNFOUNDED < FOUNDED
 
 
-def test_two_seeds_that_gathered_different_machines_agree_on_one_set() -> None:
+def test_seeds_with_different_proposals_agree_on_one_set() -> None:
     core = Core(founded=False)
     results = []
 
     def propose(name: str, joined: tuple[str, ...]) -> None:
         change = propose_members(MEMBERS + joined)
-        result = core.hosts[name].change(topics.MEMBERS, change, clock() + PATIENCE_NS)
+        result = core.hosts[name].change(topics.MEMBERS, change, clock() + TIMEOUT_NS)
         assert isinstance(result, Committed)
         results.append(decode_value(result.value, MembersValue).members)
 
@@ -43,11 +43,11 @@
 
     def read() -> None:
         host = core.hosts[MEMBERS[0]]
-        results.append(host.change(topics.CONFIGURATION, changes.unchanged, clock() + PATIENCE_NS))
+        results.append(host.change(topics.CONFIGURATION, changes.unchanged, clock() + TIMEOUT_NS))
         host.follow(MembersValue(FOUNDED, MEMBERS), False, lambda: None)
         while not host.founded:
             core.scheduler.sleep(1_000_000)
-        results.append(host.change(topics.CONFIGURATION, changes.unchanged, clock() + PATIENCE_NS))
+        results.append(host.change(topics.CONFIGURATION, changes.unchanged, clock() + TIMEOUT_NS))
 
     core.run(read)
     assert results[0] == Unavailable(in_doubt=False)
--- a/tests/controlplane/test_key_leases.py
+++ b/tests/controlplane/test_key_leases.py
@@ -1,4 +1,4 @@
-"""Leases of keys at a core member: one question for all that wait, asked after they did, answered by a majority."""
+"""Tests of key leases at a core member: a query that a majority answers serves all requests received before it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Member:
-    """One core member, in virtual time; what it sends to the others is kept."""
+    """One core member in virtual time; `sent` records what it sends to the others."""
 
     def __init__(self) -> None:
         self.world = World()
@@ -33,8 +33,8 @@
     def pass_time(self, ns: int) -> None:
         self.world.run_until(self.world.now + ns)
 
-    def question(self) -> NewestQuery:
-        """The question that is sent next, to all others."""
+    def next_query(self) -> NewestQuery:
+        """Wait for the next query, which goes to all other members."""
         self.pass_time(BATCH_WINDOW_NS)
         members = [member for member, _ in self.sent]
         assert members == ["b:1", "c:1"]
@@ -42,7 +42,7 @@
         self.sent.clear()
         return query
 
-    def hear(self, query: NewestQuery, acceptor: str, sequence: int) -> None:
+    def deliver_answer(self, query: NewestQuery, acceptor: str, sequence: int) -> None:
         self.leases.handle_answer(NewestAnswer(query.call, acceptor, query.members, sequence))
 
 
@@ -51,40 +51,40 @@
     return Member()
 
 
-def test_one_question_serves_all_that_asked_before_it(member: Member) -> None:
+def test_one_query_serves_all_requests_that_arrived_before_it(member: Member) -> None:
     first, second = Peer(), Peer()
     member.leases.request(first, KeyLeaseRequest(11))
     member.leases.request(second, KeyLeaseRequest(22))
-    query = member.question()
+    query = member.next_query()
     assert first.take() == []
-    member.hear(query, "c:1", 6)
+    member.deliver_answer(query, "c:1", 6)
     assert first.take() == [KeyLeaseGrant(11, 6)]
     assert second.take() == [KeyLeaseGrant(22, 6)]
 
 
-def test_who_asks_while_a_question_is_under_way_waits_for_the_next(member: Member) -> None:
+def test_a_request_during_a_query_waits_for_the_next_query(member: Member) -> None:
     early, late = Peer(), Peer()
     member.leases.request(early, KeyLeaseRequest(1))
-    query = member.question()
+    query = member.next_query()
     member.leases.request(late, KeyLeaseRequest(2))
-    member.hear(query, "b:1", 4)
+    member.deliver_answer(query, "b:1", 4)
     assert early.take() == [KeyLeaseGrant(1, 4)]
     assert late.take() == []
-    member.hear(query, "c:1", 4)  # the rest of the first question's answers
+    member.deliver_answer(query, "c:1", 4)  # a late answer to the first query
     assert late.take() == []
-    member.hear(member.question(), "b:1", 5)
+    member.deliver_answer(member.next_query(), "b:1", 5)
     assert late.take() == [KeyLeaseGrant(2, 5)]
 
 
-def test_without_a_majority_nothing_is_granted_and_the_next_question_is_asked(member: Member) -> None:
+def test_without_a_majority_nothing_is_granted_and_the_next_query_is_sent(member: Member) -> None:
     peer, other = Peer(), Peer()
     member.leases.request(peer, KeyLeaseRequest(1))
-    lost = member.question()
+    unanswered = member.next_query()
     member.leases.request(other, KeyLeaseRequest(2))
     member.pass_time(QUERY_TIMEOUT_NS)
-    member.hear(lost, "b:1", 4)
+    member.deliver_answer(unanswered, "b:1", 4)
     assert peer.take() == []
-    member.hear(member.question(), "b:1", 4)
+    member.deliver_answer(member.next_query(), "b:1", 4)
     assert (peer.take(), other.take()) == ([], [KeyLeaseGrant(2, 4)])
 
 
@@ -92,20 +92,20 @@
     member.accepted = None
     peer = Peer()
     member.leases.request(peer, KeyLeaseRequest(1))
-    query = member.question()
-    member.hear(query, "b:1", 4)
+    query = member.next_query()
+    member.deliver_answer(query, "b:1", 4)
     assert peer.take() == []
-    member.hear(query, "c:1", 3)
+    member.deliver_answer(query, "c:1", 3)
     assert peer.take() == [KeyLeaseGrant(1, 4)]
     assert member.leases.answer(query) is None
 
 
-def test_a_question_under_another_member_set_is_not_answered(member: Member) -> None:
+def test_a_query_for_another_member_set_is_not_answered(member: Member) -> None:
     assert member.leases.answer(NewestQuery(5, MEMBERS.sequence)) == NewestAnswer(5, "a:1", 2, 4)
     assert member.leases.answer(NewestQuery(5, MEMBERS.sequence + 1)) is None
 
 
-def test_before_a_member_set_is_known_nothing_is_asked(member: Member) -> None:
+def test_no_query_is_sent_before_a_member_set_is_known(member: Member) -> None:
     member.register.founded = False
     member.leases.request(Peer(), KeyLeaseRequest(1))
     member.pass_time(BATCH_WINDOW_NS)
