--- a/tests/controlplane/test_decode_call.py
+++ b/tests/controlplane/test_decode_call.py
@@ -15,7 +15,7 @@
 from tests.controlplane.calls import message, replace_call, version_call
 
 
-def bad(call) -> BadCall:
+def decode_bad_call(call) -> BadCall:
     command = decode_call(call)
     assert isinstance(command, BadCall), command
     assert command.findings
@@ -58,25 +58,25 @@
     ],
 )
 def test_an_unknown_call_is_not_found(method: bytes, target: bytes) -> None:
-    assert bad(message(method, target, b"X-Iristrack-Base-Version: 0\r\n")).status == 404
+    assert decode_bad_call(message(method, target, b"X-Iristrack-Base-Version: 0\r\n")).status == 404
 
 
 @pytest.mark.parametrize("base", ["", "-1", "1.0", "0x1", "one", "1 2", "9" * 19, "²"])
-def test_a_base_that_is_no_version_is_refused(base: str) -> None:
-    command = bad(replace_call(encode(sample_document()), base))
+def test_a_base_that_is_not_a_revision_is_refused(base: str) -> None:
+    command = decode_bad_call(replace_call(encode(sample_document()), base))
     assert command.status == 400
     assert command.findings[0].place == "X-Iristrack-Base-Version"
 
 
 def test_a_missing_base_is_refused() -> None:
-    assert bad(message(b"POST", b"/config/replace", b"", encode(sample_document()))).status == 400
+    assert decode_bad_call(message(b"POST", b"/config/replace", b"", encode(sample_document()))).status == 400
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"[]", b"null", b"7", b'"x"', b"\xff\xfe", b"[" * 100_000, b'{"revision": NaN}']
 )
-def test_a_body_that_cannot_be_read_is_refused(body: bytes) -> None:
-    assert bad(replace_call(body)).status == 400
+def test_a_body_that_cannot_be_decoded_is_refused(body: bytes) -> None:
+    assert decode_bad_call(replace_call(body)).status == 400
 
 
 @pytest.mark.parametrize(
@@ -105,17 +105,17 @@
         ),
     ],
 )
-def test_an_invalid_configuration_is_refused_with_its_fault(document: dict, place: str) -> None:
-    command = bad(replace_call(encode(document)))
+def test_an_invalid_configuration_is_refused_with_its_finding(document: dict, place: str) -> None:
+    command = decode_bad_call(replace_call(encode(document)))
     assert command.status == 400
     assert place in [finding.place for finding in command.findings]
 
 
-def test_all_faults_are_told_at_once() -> None:
+def test_all_findings_are_reported_at_once() -> None:
     document = with_route(timeout_ms=0)
     document["route_table"][0]["path_prefix"] = "x"
     document["tenants"][1]["api_keys"] = ["key-1"]
-    assert len(bad(replace_call(encode(document))).findings) == 3
+    assert len(decode_bad_call(replace_call(encode(document))).findings) == 3
 
 
 @pytest.mark.parametrize(
@@ -146,11 +146,11 @@
         b'{"model_name": "m", "revision": Infinity}',
     ],
 )
-def test_a_version_that_cannot_be_named_is_refused(body) -> None:
-    assert bad(version_call(body)).status == 400
+def test_an_invalid_version_call_is_refused(body) -> None:
+    assert decode_bad_call(version_call(body)).status == 400
 
 
-def test_the_bounds_of_a_version_can_be_named() -> None:
+def test_the_extreme_valid_versions_are_accepted() -> None:
     for name, revision in (("m", 1), ("m" * 200, (1 << 62) - 1), ("modèle/日", 2)):
         call = version_call(json.dumps({"model_name": name, "revision": revision}).encode())
         assert decode_call(call) == NameVersion(name, revision)
--- a/tests/controlplane/test_load_hub.py
+++ b/tests/controlplane/test_load_hub.py
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """Stands in for the scheduler: its timers are called by the test."""
+    """A fake scheduler whose timers the test runs."""
 
     def __init__(self) -> None:
         self.at = 10**12
@@ -37,9 +37,9 @@
     return Clock()
 
 
-def make(clock: Clock) -> tuple[LoadHub, list[ServerLoads]]:
-    told: list[ServerLoads] = []
-    return LoadHub(clock, "core-1", told.append), told
+def make_hub(clock: Clock) -> tuple[LoadHub, list[ServerLoads]]:
+    broadcast: list[ServerLoads] = []
+    return LoadHub(clock, "core-1", broadcast.append), broadcast
 
 
 def loads(node: str, count: int, requests: dict[str, int]) -> ServerLoads:
@@ -50,9 +50,9 @@
     return {load.instance: (load.requests, load.pieces) for load in message.loads}
 
 
-def test_sidecars_are_told_one_sum_of_all(clock: Clock) -> None:
-    """Each takes its own share off (`tests/dataplane/test_control_link.py`)."""
-    hub, _ = make(clock)
+def test_all_sidecars_are_sent_the_same_sum(clock: Clock) -> None:
+    """Each sidecar subtracts its own share (`tests/dataplane/test_control_link.py`)."""
+    hub, _ = make_hub(clock)
     first, second = Peer(), Peer()
     hub.on_sidecar_loads(first, loads("edge-1", 1, {"a": 1, "b": 2}))
     hub.on_sidecar_loads(second, loads("edge-2", 1, {"b": 4}))
@@ -62,8 +62,8 @@
     assert as_dict(first.take()[-1]) == as_dict(second.take()[-1]) == expected
 
 
-def test_who_reports_first_gets_the_whole_sum_and_then_what_changes(clock: Clock) -> None:
-    hub, told = make(clock)
+def test_a_new_reporter_is_sent_the_whole_sum_and_then_changes(clock: Clock) -> None:
+    hub, broadcast = make_hub(clock)
     first, second = Peer(), Peer()
     hub.on_sidecar_loads(first, loads("edge-1", 1, {"a": 1, "b": 2}))
     clock.turn()
@@ -74,14 +74,14 @@
     whole, change = second.take()
     assert (whole.partial, as_dict(whole)) == (False, {"a": (1, 2), "b": (6, 12)})
     assert (change.partial, as_dict(change)) == (True, {"b": (7, 14)})
-    assert [message.partial for message in told] == [False, True, True]
+    assert [message.partial for message in broadcast] == [False, True, True]
     hub.on_member_dialed()
     clock.turn()
-    assert (told[-1].partial, as_dict(told[-1])) == (False, {"a": (1, 2), "b": (7, 14)})
+    assert (broadcast[-1].partial, as_dict(broadcast[-1])) == (False, {"a": (1, 2), "b": (7, 14)})
 
 
-def test_a_sidecar_that_reports_elsewhere_by_now_is_told_no_more(clock: Clock) -> None:
-    hub, _ = make(clock)
+def test_a_sidecar_that_now_reports_elsewhere_is_sent_nothing(clock: Clock) -> None:
+    hub, _ = make_hub(clock)
     moved, stays = Peer(), Peer()
     hub.on_sidecar_loads(moved, loads("edge-1", 1, {"a": 1}))
     clock.turn(900_000_000)
@@ -95,15 +95,15 @@
 
 
 @given(st.lists(LOADS, min_size=1, max_size=4), st.lists(LOADS, max_size=3))
-def test_each_sum_holds_everyone(sidecars, members) -> None:
-    stand_in = Clock()
-    hub, told = make(stand_in)
+def test_each_sum_includes_all_reporters(sidecars, members) -> None:
+    fake_clock = Clock()
+    hub, broadcast = make_hub(fake_clock)
     peers = [Peer() for _ in sidecars]
     for number, (peer, requests) in enumerate(zip(peers, sidecars, strict=True)):
         hub.on_sidecar_loads(peer, loads(f"edge-{number}", 1, requests))
     for number, requests in enumerate(members):
         hub.on_member_loads(loads(f"core-{number + 2}", 1, requests))
-    stand_in.turn()
+    fake_clock.turn()
 
     def total(parts) -> dict[str, tuple[int, int]]:
         sums: dict[str, int] = {}
@@ -112,34 +112,36 @@
                 sums[instance] = sums.get(instance, 0) + count
         return {instance: (count, 2 * count) for instance, count in sums.items()}
 
-    assert as_dict(told[-1]) == total(sidecars)  # members are told of this member's sidecars alone
+    assert as_dict(broadcast[-1]) == total(
+        sidecars
+    )  # members are sent only the loads of this member's sidecars
     for peer in peers:
         assert as_dict(peer.take()[-1]) == total([*sidecars, *members])
 
 
-def test_nothing_new_is_nothing_told(clock: Clock) -> None:
-    hub, told = make(clock)
+def test_nothing_is_sent_if_nothing_changed(clock: Clock) -> None:
+    hub, broadcast = make_hub(clock)
     peer = Peer()
     hub.on_sidecar_loads(peer, loads("edge-1", 1, {"a": 1}))
     clock.turn()
     peer.take()
-    told.clear()
-    hub.on_sidecar_loads(peer, loads("edge-1", 1, {"a": 9}))  # the same count: told before
+    broadcast.clear()
+    hub.on_sidecar_loads(peer, loads("edge-1", 1, {"a": 9}))  # the same count: a duplicate
     clock.turn()
-    assert (peer.take(), told) == ([], [])
+    assert (peer.take(), broadcast) == ([], [])
 
 
-def test_sums_are_counted_so_that_an_older_one_is_known(clock: Clock) -> None:
-    hub, told = make(clock)
+def test_reports_are_numbered_so_that_an_older_one_is_recognised(clock: Clock) -> None:
+    hub, broadcast = make_hub(clock)
     for count in (1, 2, 3):
         hub.on_sidecar_loads(Peer(), loads("edge-1", count, {"a": count}))
         clock.turn()
-    assert [message.count for message in told] == [1, 2, 3]
-    assert all(message.node == "core-1" for message in told)
+    assert [message.count for message in broadcast] == [1, 2, 3]
+    assert all(message.node == "core-1" for message in broadcast)
 
 
-def test_a_sidecar_that_fell_silent_counts_for_nothing(clock: Clock) -> None:
-    hub, _ = make(clock)
+def test_the_load_of_a_silent_sidecar_expires(clock: Clock) -> None:
+    hub, _ = make_hub(clock)
     silent, peer = Peer(), Peer()
     hub.on_sidecar_loads(silent, loads("edge-1", 1, {"a": 5}))
     hub.on_sidecar_loads(peer, loads("edge-2", 1, {"b": 1}))
@@ -155,8 +157,8 @@
     assert table == {"b": ServerLoad("b", 2, 4)}
 
 
-def test_a_sidecar_that_reconnects_is_told_over_its_new_connection_alone(clock: Clock) -> None:
-    hub, _ = make(clock)
+def test_a_reconnected_sidecar_is_sent_reports_only_over_its_new_connection(clock: Clock) -> None:
+    hub, _ = make_hub(clock)
     old, new = Peer(), Peer()
     hub.on_sidecar_loads(old, loads("edge-1", 1, {"a": 5}))
     old.closed = True
@@ -166,12 +168,12 @@
     assert as_dict(new.take()[-1]) == {"a": (6, 12)}
 
 
-def test_the_sidecars_of_all_members_are_counted_and_set_the_pace(clock: Clock) -> None:
-    hub, told = make(clock)
+def test_the_sidecars_of_all_members_determine_the_report_interval(clock: Clock) -> None:
+    hub, broadcast = make_hub(clock)
     sidecar = Peer()
     hub.on_sidecar_loads(sidecar, loads("edge-1", 1, {"a": 1}))
     hub.on_member_loads(ServerLoads("core-2", 1, (ServerLoad("a", 1, 2),), sidecars=79))
     clock.turn()
-    assert (told[-1].sidecars, sidecar.take()[-1].sidecars) == (1, 80)
+    assert (broadcast[-1].sidecars, sidecar.take()[-1].sidecars) == (1, 80)
     ((due, _),) = clock.calls
     assert due == clock.at + report_interval(80) > clock.at + report_interval(0)
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls at a register, real or standing in, and what is told of them."""
+"""Tests of the operators' calls against real and fake registers, and of the values that they publish."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.controlplane.calls import Log, amend_call, message, replace_call, version_call
 
 MEMBERS = ("core:1", "core:2", "core:3")
-PATIENCE_NS = 10**10
+TIMEOUT_NS = 10**10
 BODY = encode(sample_document())
 TAKEN = ConfigurationValue(4, 9, b'{"revision": 9}')
 
@@ -48,17 +48,17 @@
     )
 
 
-# ---- results and their answers
+# ---- answers to each result
 
 
 def answer(result, call) -> tuple[object, list[Update]]:
-    told: list[Update] = []
+    published: list[Update] = []
     register = SimpleNamespace(
         change=lambda key, change, deadline: result,
         value_size=lambda key: 0,
         scheduler=SimpleNamespace(now=clock),
     )
-    return make_api(register, told.append).answer(call), told
+    return make_api(register, published.append).answer(call), published
 
 
 READ = message(b"GET", b"/config/read")
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("call", [READ, REPLACE, AMEND, NAME])
-def test_without_a_quorum_lately_no_register_is_asked_and_there_is_no_clear_answer(call) -> None:
+def test_without_a_recent_quorum_no_register_is_asked_and_the_answer_is_inconclusive(call) -> None:
     def change(key, change, deadline):
         raise AssertionError("the register was asked")
 
@@ -116,7 +116,7 @@
     assert b"Retry-After" in response.lines
 
 
-def test_the_figures_are_told_as_text_without_asking_the_register() -> None:
+def test_the_metrics_are_returned_as_text_without_asking_the_register() -> None:
     document = {
         "voting": True,
         "in_quorum": False,
@@ -138,7 +138,7 @@
     assert api.answer(replace_call(b"{")).status == 400
 
 
-def test_reading_gives_the_body_as_it_was_sent() -> None:
+def test_a_read_returns_the_body_as_it_was_sent() -> None:
     response, _ = answer(Committed(encode_value(ConfigurationValue(4, 7, BODY)), NO_BALLOT), READ)
     assert response.body == BODY
 
@@ -147,21 +147,21 @@
 @pytest.mark.parametrize(
     "result", [Committed(encode_value(TAKEN), NO_BALLOT), Rejected("why", encode_value(TAKEN))]
 )
-def test_only_what_is_committed_is_told(call, result) -> None:
-    _, told = answer(result, call)
+def test_only_committed_values_are_published(call, result) -> None:
+    _, published = answer(result, call)
     if isinstance(result, Committed) or call is REPLACE:
-        assert told == [Update(topics.CONFIGURATION, 4, encode_value(TAKEN))]
+        assert published == [Update(topics.CONFIGURATION, 4, encode_value(TAKEN))]
     else:
-        assert told == []
+        assert published == []
     assert answer(Unavailable(in_doubt=True), call)[1] == []
 
 
 @pytest.mark.parametrize(
     ("target", "servers"), [(b"/system/status", False), (b"/system/status?servers", True)]
 )
-def test_the_status_is_told_without_asking_the_register(target: bytes, servers: bool) -> None:
-    response, told = answer(None, message(b"GET", target))
-    assert (response.status, told) == (200, [])
+def test_the_status_is_returned_without_asking_the_register(target: bytes, servers: bool) -> None:
+    response, published = answer(None, message(b"GET", target))
+    assert (response.status, published) == (200, [])
     assert json.loads(response.body) == STATUS | {"servers": servers}
 
 
@@ -171,11 +171,11 @@
     assert {"place", "message", "remedy"} == set(rows[0])
 
 
-# ---- at a register of three members in this process
+# ---- calls against a register of three members in this process
 
 
 class Disk:
-    """Syncs in a later turn of the loop, in order; what the real one would not take fails."""
+    """A fake disk that syncs in order in a later turn of the loop; records too large for the real one fail."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
@@ -199,9 +199,9 @@
     def __init__(self, members: tuple[str, ...] = MEMBERS, founded: bool = True) -> None:
         self.failures: list[str] = []
         self.scheduler = Scheduler(lambda text: self.failures.append(f"{text}\n{traceback.format_exc()}"))
-        self.cut: set[str] = set()
+        self.isolated: set[str] = set()
         self.hosts: dict[str, RegisterHost] = {}
-        self.told: list[Update] = []
+        self.published: list[Update] = []
         for name in members:
             opened = SimpleNamespace(blobs={}, identity=None, registers={}, store=SimpleNamespace(node=name))
             host = RegisterHost(
@@ -219,7 +219,7 @@
             else:
                 host.form(members)
             self.hosts[name] = host
-        self.apis = [make_api(host, self.told.append) for host in self.hosts.values()]
+        self.apis = [make_api(host, self.published.append) for host in self.hosts.values()]
         self.run(lambda: self._wait_for_votes(founded))
 
     def _wait_for_votes(self, founded: bool) -> None:
@@ -229,7 +229,7 @@
 
     def _send_from(self, sender: str) -> Callable:
         def send(member: str, message) -> None:
-            if {sender, member} & self.cut:
+            if {sender, member} & self.isolated:
                 return
 
             def reply(answer) -> None:
@@ -241,8 +241,8 @@
 
     def _deliver(self, member: str, message, reply: Callable) -> None:
         if isinstance(message, Update):
-            told = decode_value(message.value, MembersValue)
-            self.hosts[member].follow(told, False, lambda: None)
+            published = decode_value(message.value, MembersValue)
+            self.hosts[member].follow(published, False, lambda: None)
         else:
             self.hosts[member].handle(message, reply)
 
@@ -261,7 +261,7 @@
         for number in range(len(calls)):
             self.scheduler.spawn(f"call {number}", run_call, number)
         self.scheduler._stopped = False
-        guard = self.scheduler.call_at(clock() + PATIENCE_NS, self.scheduler.stop)
+        guard = self.scheduler.call_at(clock() + TIMEOUT_NS, self.scheduler.stop)
         self.scheduler.run()
         guard.cancel()
         assert not self.failures, "\n".join(self.failures)
@@ -277,7 +277,7 @@
     return json.dumps({"revision": revision, "route_table": [], "services": [{"label": label}]}).encode()
 
 
-def test_a_configuration_is_taken_once_and_read_back_anywhere() -> None:
+def test_a_configuration_is_taken_once_and_can_be_read_from_each_member() -> None:
     core = Core()
     assert core.status(READ) == 404
     assert core.status(replace_call(document(5), "0")) == 200
@@ -288,12 +288,12 @@
     for api in core.apis:
         (response,) = core.run(lambda api=api: api.answer(READ))
         assert (response.status, response.body) == (200, document(7))
-    sequences = [update.sequence for update in core.told]
+    sequences = [update.sequence for update in core.published]
     assert sequences == sorted(sequences)
     assert all(host.runner.under_way == 0 for host in core.hosts.values())
 
 
-def test_one_of_two_operators_on_the_same_base_prevails() -> None:
+def test_one_of_several_operators_on_the_same_base_wins() -> None:
     core = Core()
     core.status(replace_call(document(5), "0"))
     responses = core.run(
@@ -313,14 +313,14 @@
     monkeypatch.setattr("iristrack.controlplane.operator_api.CALL_TIMEOUT_NS", 30_000_000)
     core = Core()
     core.status(replace_call(document(5), "0"))
-    core.cut = set(MEMBERS[1:])
+    core.isolated = set(MEMBERS[1:])
     assert core.status(replace_call(document(8), "5")) == 503
     assert core.status(READ) == 503
-    core.cut = set()
+    core.isolated = set()
     assert core.status(READ) == 200
 
 
-def test_a_model_too_many_gets_one_clear_answer(monkeypatch) -> None:
+def test_a_model_beyond_the_limit_is_refused_with_400(monkeypatch) -> None:
     monkeypatch.setattr("iristrack.controlplane.changes.MAX_MODELS", 2)
     core = Core()
     calls = [{"model_name": model, "revision": 2} for model in ("m", "n", "o", "m")]
@@ -331,7 +331,7 @@
     core = Core()
     for revision in (2, 5, 3):
         assert core.status(version_call({"model_name": "m", "revision": revision})) == 200
-    named = decode_value(core.told[-1].value, VersionsValue)
+    named = decode_value(core.published[-1].value, VersionsValue)
     assert [(v.model, v.revision) for v in named.versions] == [("m", 5)]
 
 
@@ -346,7 +346,7 @@
     ],
     ids=["surrogate", "deep version", "deep configuration", "surrogate label", "largest"],
 )
-def test_an_odd_call_is_answered_and_the_next_one_too(call) -> None:
+def test_an_extreme_call_is_answered_and_so_is_the_next_one(call) -> None:
     core = Core()
     assert core.status(call) in (200, 400, 413)
     assert all(host.voting for host in core.hosts.values())
@@ -356,15 +356,15 @@
 # ---- long numbers
 
 
-def test_a_change_names_a_long_revision_as_its_base() -> None:
-    """Revisions of 19 digits were taken, and every later change was refused."""
+def test_the_largest_revision_is_accepted_as_a_base() -> None:
+    """Guards against accepting a revision of 19 digits that is then refused as the base of all later changes."""
     longest = (1 << 63) - 1
     assert decode_call(replace_call(BODY, base=str(longest))).base == longest
     assert isinstance(decode_call(replace_call(BODY, base=str(longest + 1))), BadCall)
 
 
 @pytest.mark.parametrize("revision", [1 << 63, 10**30])
-def test_a_revision_that_no_register_holds_is_refused(revision: int) -> None:
+def test_a_revision_too_large_for_the_registers_is_refused(revision: int) -> None:
     body = encode(sample_document() | {"revision": revision})
     (finding,) = decode_call(replace_call(body)).findings
     assert finding.place == "revision"
--- a/tests/controlplane/test_quorum_contact.py
+++ b/tests/controlplane/test_quorum_contact.py
@@ -1,4 +1,4 @@
-"""Whether a control plane reaches a quorum, by what it has heard lately."""
+"""Tests of whether a control plane reaches a quorum, according to recent messages."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 @pytest.mark.parametrize(
-    ("members", "heard", "holds"),
+    ("members", "heard", "expected"),
     [
-        ((), ("b",), False),  # no set is known
+        ((), ("b",), False),  # no member set is known
         (("a", "b", "c"), ("b",), True),
         (("a", "b", "c"), (), False),
-        (("a", "b", "c"), ("x", "y"), False),  # strangers
-        (("b", "c", "d"), ("b",), False),  # it is no member itself
+        (("a", "b", "c"), ("x", "y"), False),  # not members
+        (("b", "c", "d"), ("b",), False),  # the process itself is not a member
         (("b", "c", "d"), ("b", "c"), True),
         (("a", "b", "c", "d"), ("b",), False),
         (("a", "b", "c", "d", "e"), ("b", "c"), True),
     ],
 )
-def test_a_quorum_is_more_than_half_of_the_set(members, heard, holds: bool) -> None:
+def test_a_quorum_is_more_than_half_of_the_set(members, heard, expected: bool) -> None:
     register = SimpleNamespace(name="a", members=members)
     dialers = SimpleNamespace(heard_within=lambda ns: list(heard))
-    assert QuorumContact(register, dialers).has_quorum() is holds
+    assert QuorumContact(register, dialers).has_quorum() is expected
--- a/tests/controlplane/test_register_host.py
+++ b/tests/controlplane/test_register_host.py
@@ -1,4 +1,4 @@
-"""The register host on a disk that refuses records, or loses power, while the member set changes."""
+"""Tests of the register host on a disk that refuses records, or loses power, while the member set changes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Machine:
-    """One machine; `sent` holds what its host sent to other members."""
+    """One machine; `sent` records what its host sends to other members."""
 
     def __init__(self, disk: VirtualDisk, seed: int = 1) -> None:
         self.seed = seed
@@ -33,7 +33,7 @@
         self.disk = disk
         self.sent: list[tuple[str, object]] = []
         self.lines: list[str] = []
-        self.told: list[int] = []  # the sequences whose sets it has said to go by
+        self.adopted: list[int] = []  # sequences of the member sets for which `on_done` was called
         self.start()
 
     def start(self) -> None:
@@ -51,7 +51,7 @@
         )
 
     def follow(self, members: MembersValue) -> None:
-        self.host.follow(members, False, lambda: self.told.append(members.sequence))
+        self.host.follow(members, False, lambda: self.adopted.append(members.sequence))
 
     def pass_time(self, seconds: float) -> None:
         self.world.run_until(self.world.now + int(seconds * NS_PER_S))
@@ -60,8 +60,8 @@
 
 def member_disk() -> VirtualDisk:
     disk = VirtualDisk()
-    cells = [RegisterRecord(key, ACCEPTED, ACCEPTED, key.encode()) for key in KEYS]
-    disk.keep([IdentityRecord("first", OWN), *cells])
+    registers = [RegisterRecord(key, ACCEPTED, ACCEPTED, key.encode()) for key in KEYS]
+    disk.keep([IdentityRecord("first", OWN), *registers])
     disk.blobs[MEMBERS_BLOB] = encode_value(FOUNDING_SET)
     return disk
 
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("sets", [[NEXT_SET], [NEXT_SET, SETTLED_SET], [NEXT_SET, NEXT_SET]])
-def test_a_set_that_changes_while_the_disk_refuses_costs_no_copy(sets: list[MembersValue]) -> None:
+def test_a_member_set_change_while_the_disk_refuses_needs_no_recovery(sets: list[MembersValue]) -> None:
     machine = Machine(member_disk())
     machine.disk.refusing = True
     machine.host.handle(prepare(FOUNDING_SET), lambda answer: None)
@@ -80,7 +80,7 @@
     for members in sets:
         machine.follow(members)
         machine.pass_time(1)
-    assert machine.sent == []  # it asks nobody for what it has itself
+    assert machine.sent == []  # no request to other members for state that is on its own disk
     assert not machine.host.voting
     machine.disk.refusing = False
     machine.pass_time(2)
@@ -90,7 +90,7 @@
     assert machine.host.acceptor.state(topics.CONFIGURATION) == RegisterState(
         ACCEPTED, ACCEPTED, b"configuration"
     )
-    assert machine.told == [sets[-1].sequence]
+    assert machine.adopted == [sets[-1].sequence]
     answers = []
     machine.host.handle(prepare(sets[-1]), answers.append)
     machine.pass_time(0.1)
@@ -99,20 +99,20 @@
     assert machine.host.member_set == sets[-1]
 
 
-def test_a_set_whose_record_the_disk_refuses_is_told_once_it_is_written() -> None:
+def test_a_member_set_whose_record_the_disk_refuses_is_reported_once_it_is_written() -> None:
     machine = Machine(member_disk())
     machine.disk.refusing = True
     machine.follow(NEXT_SET)
     machine.follow(SETTLED_SET)
     machine.pass_time(2)
-    assert machine.told == []
+    assert machine.adopted == []
     machine.disk.refusing = False
     machine.pass_time(2)
-    assert (machine.told, machine.host.voting) == ([SETTLED_SET.sequence], True)
+    assert (machine.adopted, machine.host.voting) == ([SETTLED_SET.sequence], True)
     assert machine.host.member_set == SETTLED_SET
 
 
-def test_one_that_joined_and_is_told_so_again_keeps_what_its_refusing_disk_holds() -> None:
+def test_a_joining_member_that_gets_its_set_twice_keeps_the_state_on_its_refusing_disk() -> None:
     joining = MembersValue(FOUNDED + 1, ("a", "b", "c"), OWN, "z")
     disk = member_disk()
     disk.blobs[MEMBERS_BLOB] = encode_value(joining)
@@ -128,7 +128,7 @@
     assert machine.sent == []
 
 
-def test_one_that_is_replaced_while_its_disk_refuses_does_not_vote_again() -> None:
+def test_a_member_replaced_while_its_disk_refuses_does_not_vote_again() -> None:
     machine = Machine(member_disk())
     machine.disk.refusing = True
     machine.host.handle(prepare(FOUNDING_SET), lambda answer: None)
@@ -140,8 +140,8 @@
     assert machine.host.acceptor is None
 
 
-def test_a_loss_of_power_while_what_was_recovered_is_written_leaves_no_vote_without_it() -> None:
-    """The disk is that of a member which had been replaced and is let in again: its cells are old ones."""
+def test_a_power_loss_while_recovered_records_are_written_allows_no_vote_without_them() -> None:
+    """The disk belongs to a member that was replaced and is admitted again, so its registers are outdated."""
     recovered = (RegisterRecord(topics.CONFIGURATION, Ballot(9, "r"), Ballot(9, "r"), b"newer"),)
     written = 0
     while True:
@@ -164,23 +164,23 @@
 # ---- the disk's name
 
 
-def test_a_disk_keeps_its_name_over_starts_and_a_new_one_has_another() -> None:
+def test_a_disk_keeps_its_name_over_restarts_and_a_new_disk_gets_another() -> None:
     disk = VirtualDisk()
     first = Machine(disk)
     first.pass_time(0.1)
     assert Machine(disk, seed=2).host.disk == first.host.disk
     assert Machine(VirtualDisk(), seed=2).host.disk != first.host.disk
-    assert disk.identity.incarnation == ""  # a name gives no vote
+    assert disk.identity.incarnation == ""  # a name alone does not allow voting
 
 
-def test_a_disk_that_was_voted_from_without_a_name_gets_none() -> None:
-    """Whoever votes from it may have voted as anybody; a name on it would say that it never did."""
+def test_a_disk_with_votes_but_without_a_name_gets_no_name() -> None:
+    """A name says that every vote from the disk was given under it, which earlier votes contradict."""
     disk = member_disk()
     Machine(disk).pass_time(0.1)
     assert DISK_BLOB not in disk.blobs
 
 
-def test_a_member_that_is_replaced_serves_the_disk_that_the_set_names() -> None:
+def test_a_replaced_member_serves_only_the_disk_that_the_set_names() -> None:
     machine = Machine(member_disk())
     joining = MembersValue(FOUNDED + 1, ("b", "c", "d"), "d", OWN, "named")
     machine.follow(joining)
--- a/tests/controlplane/test_rollout_changes.py
+++ b/tests/controlplane/test_rollout_changes.py
@@ -1,4 +1,4 @@
-"""The register of roll-outs: orders, repeats, steps under a fence."""
+"""Tests of changes to the register of roll-outs: orders, repeats, and steps under a fencing token."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     return advance_rollout(before, replace(before, **changes), fence)(value)
 
 
-def test_an_order_begins_with_no_share_and_its_repeat_changes_nothing() -> None:
+def test_an_order_starts_at_share_zero_and_its_repeat_changes_nothing() -> None:
     value = begin(b"")
     assert state(value) == RolloutState("pool", "v2", 16_000, RUNNING, 0, 1)
     assert begin(value) == Unchanged()
-    assert begin(value, age_ms=10**6) == Unchanged()  # as long as it runs
+    assert begin(value, age_ms=10**6) == Unchanged()  # while the roll-out runs
 
 
-def test_another_version_waits_for_the_end_of_the_one_that_runs() -> None:
+def test_another_version_is_refused_while_a_rollout_runs() -> None:
     value = begin(b"")
     assert begin(value, version="v3") == Refuse(ROLLOUT_RUNNING)
     assert begin(value, over_ms=9_000) == Refuse(ROLLOUT_RUNNING)
@@ -48,13 +48,13 @@
     assert (state(after).version, state(after).number) == ("v3", 2)
 
 
-def test_a_late_repeat_of_an_order_brings_no_reverted_version_back() -> None:
+def test_a_late_repeat_of_an_order_does_not_restart_a_reverted_rollout() -> None:
     value = advanced(begin(b""), 1, phase=REVERTED, elapsed_ms=3_000)
     assert begin(value, age_ms=REPEAT_MS - 3_000) == Unchanged()
     assert state(begin(value, age_ms=REPEAT_MS - 2_999)).phase == RUNNING
 
 
-def test_services_are_rolled_out_apart_and_their_number_is_bounded() -> None:
+def test_services_are_rolled_out_independently_and_their_number_is_bounded() -> None:
     value = b""
     for number in range(MAX_ROLLOUTS):
         value = begin(value, service=f"s{number}")
@@ -62,7 +62,7 @@
     assert state(value, "s0").phase == RUNNING
 
 
-def test_a_step_needs_the_state_that_was_seen_and_no_lower_fence() -> None:
+def test_a_step_requires_the_expected_state_and_a_fence_that_is_not_lower() -> None:
     value = begin(b"")
     first = state(value)
     stepped = advanced(value, 5, share=40)
--- a/tests/controlplane/test_weights_duty.py
+++ b/tests/controlplane/test_weights_duty.py
@@ -1,4 +1,4 @@
-"""An order to a server: given under a lease that holds when it is written, also where the connection came late."""
+"""Tests that an order to a server is sent only while the lease is valid, even if connecting takes long."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 REPORT = Report({"m": 1}, busy=False, call_count=4, active=0, queued=0)
 
 
-class LateCaller:
-    """A connection to the server that takes its time; what is written over it is counted."""
+class SlowCaller:
+    """A fake connection that takes `connect_ns` to establish and counts the calls sent over it."""
 
-    def __init__(self, world: World, takes_ns: int) -> None:
+    def __init__(self, world: World, connect_ns: int) -> None:
         self.world = world
-        self.takes_ns = takes_ns
-        self.written = 0
+        self.connect_ns = connect_ns
+        self.sent_count = 0
 
     def close(self) -> None:
         pass
 
     def connect(self, deadline: int) -> None:
-        self.world.now += self.takes_ns
+        self.world.now += self.connect_ns
 
     def call(self, method: bytes, target: bytes, lines: bytes, body: bytes, deadline: int) -> object:
-        self.written += 1
+        self.sent_count += 1
         return SimpleNamespace(head=SimpleNamespace(status=202))
 
 
@@ -44,26 +44,26 @@
 
 @pytest.fixture
 def duty(world: World) -> WeightsDuty:
-    """The holder of the duty, whose lease holds for `RENEWAL_VALID_NS` from now."""
+    """The holder of the duty, whose lease is valid for `RENEWAL_VALID_NS` from now."""
     bounds = SimpleNamespace(lease_ms=3_000)
     settings = SimpleNamespace(node_name="core-1", rule_bounds=bounds)
     scheduler = VirtualScheduler(world)
-    made = WeightsDuty(scheduler, settings, "p", None, dict, lambda update: None, Log())
-    made.lease.claimed(DutyValue(1, "core-1", "p", 7, 0), world.now, world.now)
-    return made
+    weights_duty = WeightsDuty(scheduler, settings, "p", None, dict, lambda update: None, Log())
+    weights_duty.lease.claimed(DutyValue(1, "core-1", "p", 7, 0), world.now, world.now)
+    return weights_duty
 
 
-def test_an_order_is_written_while_the_lease_holds(world: World, duty: WeightsDuty) -> None:
-    caller = LateCaller(world, RENEWAL_VALID_NS - 1)
+def test_an_order_is_sent_while_the_lease_is_valid(world: World, duty: WeightsDuty) -> None:
+    caller = SlowCaller(world, RENEWAL_VALID_NS - 1)
     assert duty.orders.order(caller, UPGRADE, REPORT)
-    assert caller.written == 1
+    assert caller.sent_count == 1
 
 
 @pytest.mark.parametrize("late_ns", [RENEWAL_VALID_NS, 5 * RENEWAL_VALID_NS])
-def test_an_order_whose_connection_came_after_the_lease_is_not_written(
+def test_an_order_is_not_sent_if_the_lease_expires_while_connecting(
     world: World, duty: WeightsDuty, late_ns: int
 ) -> None:
-    """Where servers check no fence, a late order would be a turn of the old holder beside the next one."""
-    caller = LateCaller(world, late_ns)
+    """If servers check no fencing token, a late order of the old holder could run beside one of the new holder."""
+    caller = SlowCaller(world, late_ns)
     assert not duty.orders.order(caller, UPGRADE, REPORT)
-    assert caller.written == 0
+    assert caller.sent_count == 0
