--- a/iristrack/engines/rollouts.py
+++ b/iristrack/engines/rollouts.py
@@ -28,13 +28,17 @@
     2_000_000_000  # since the order; earlier there are too few answers to estimate the request rate
 )
 STEPS = ((0.55, 100), (0.60, 200), (0.65, 450), (0.70, FULL_SHARE))  # time, and the share from then on
-MIN_ANSWER_COUNT = 20  # of the new version before its share rises, if they arrive by `ANSWER_WAIT_END`
+MIN_ANSWER_COUNT = 20  # of the new version before its share rises, waited for until `ANSWER_WAIT_END` at most
 ANSWER_WAIT_END = 0.62  # time
 NS_PER_MS = 1_000_000
 MIN_FULL_SHARE_NS = 1500 * NS_PER_MS  # at the full share before the roll-out may finish
 FORCED_FINISH = 0.93  # time from which it finishes even with requests in flight at the old version's servers
-CONCENTRATION = 0.8  # of the servers proportional to the share, which makes them slightly busier than normal
-LOADED_CONCENTRATION = 0.4  # in every other turn of a canary, since a version may be bad only under load
+CONCENTRATION = (
+    0.8  # of the servers that a share corresponds to, so that they are slightly busier than normal
+)
+LOADED_CONCENTRATION = (
+    0.4  # the same in every other turn of a canary, since a version may be bad only under load
+)
 TURN_DURATION = 0.11  # time after which a canary moves to other servers, since one may be faulty by itself
 
 
