--- a/iristrack/controlplane/prefix_cache_watch.py
+++ b/iristrack/controlplane/prefix_cache_watch.py
@@ -164,12 +164,12 @@
         try:
             while True:
                 try:
-                    cursor, lost = self._take_events(caller, holder, cursor)
+                    cursor, lost = self._fetch_events(caller, holder, cursor)
                     if lost and (
                         listed_at is None or self.scheduler.now() - listed_at > MIN_LIST_INTERVAL_NS
                     ):
                         listed_at = self.scheduler.now()
-                        cursor = self._take_list(caller, holder)
+                        cursor = self._fetch_list(caller, holder)
                     failed = False
                 except (OSError, http.Malformed, http.Truncated, MalformedAnswer):
                     if not failed:  # the holder counts as empty until it answers again
@@ -181,7 +181,7 @@
             caller.close()
             raise
 
-    def _take_events(self, caller: Caller, holder: str, cursor: Cursor) -> tuple[Cursor, bool]:
+    def _fetch_events(self, caller: Caller, holder: str, cursor: Cursor) -> tuple[Cursor, bool]:
         """Fetch the changes since the cursor; return the next cursor and whether events were lost."""
         target = b"/kv-events?since=%d" % cursor.since
         answer = parse_events(_call(caller, target, b"Wait-Ms: %d\r\n" % LONG_POLL_MS))
@@ -191,7 +191,7 @@
         self._publish(changes_of_events(holder, step.events))
         return step.cursor, answer.lost
 
-    def _take_list(self, caller: Caller, holder: str) -> Cursor:
+    def _fetch_list(self, caller: Caller, holder: str) -> Cursor:
         """Fetch the holder's whole list; it is priced, so it is fetched only after lost events, as after a start."""
         answer = parse_list(_call(caller, b"/kv-list", b""))
         self._publish(changes_of_list(holder, answer.owned))
--- a/iristrack/controlplane/register_host.py
+++ b/iristrack/controlplane/register_host.py
@@ -240,7 +240,7 @@
         self.sync.submit([BlobRecord(MEMBERS_BLOB, encode_value(new_set))], written)
 
     def _adopt_later(self, new_set: MembersValue, on_done: Callable[[], None]) -> None:
-        """Switch to this set once the disk accepts records again: its content is intact and others may need it."""
+        """Switch to this set once the disk accepts records again: its content is intact, and others may need it."""
         self.member_set = new_set
         self._on_voting_again = on_done
 
--- a/iristrack/controlplane/rollouts.py
+++ b/iristrack/controlplane/rollouts.py
@@ -47,7 +47,7 @@
     elapsed_ms: int  # time since the order, according to the newest state
     received_at: int  # when that state arrived here (ns)
     full_at: int = 0  # when this process first saw the new version receive all traffic (ns); 0: not yet
-    test: CanaryAnalysis = field(default_factory=CanaryAnalysis)
+    analysis: CanaryAnalysis = field(default_factory=CanaryAnalysis)
     verdict: Verdict | None = None
 
     def elapsed_ns(self, now: int) -> int:
@@ -160,7 +160,7 @@
         if update.topic == topics.ROLLOUTS_DUTY:
             self.duty.on_value(update.value)
         elif update.topic == topics.ROLLOUTS:
-            self._take_rollouts(update.value)
+            self._apply_rollouts(update.value)
         elif update.topic == topics.SERVERS:
             decoded = decode_value(update.value, ServersValue)
             self.servers = self.servers if decoded is None else from_message(decoded)
@@ -169,7 +169,7 @@
         """Handle the counts of a data plane process."""
         self.evidence.record(evidence, self.scheduler.now())
 
-    def _take_rollouts(self, value: bytes) -> None:
+    def _apply_rollouts(self, value: bytes) -> None:
         decoded = decode_value(value, RolloutsValue)
         if decoded is None:
             return
@@ -177,9 +177,9 @@
         self.rollouts = decoded.rollouts
         self.received_at = now
         for state in decoded.rollouts:
-            self._watch(state, now)
+            self._track(state, now)
 
-    def _watch(self, state: RolloutState, now: int) -> None:
+    def _track(self, state: RolloutState, now: int) -> None:
         known = self.watched.get(state.service)
         if known is None or known.number != state.number:
             known = self.watched[state.service] = RolloutWatch(state.number, state.elapsed_ms, now)
@@ -202,20 +202,20 @@
         """Evaluate the evidence, whichever member holds the duty, so that its next holder has the verdict."""
         watched = self.watched[state.service]
         new, old = self.evidence.new_answers(state.number), self.evidence.old_answers(state.number)
-        watched.verdict = watched.verdict or watched.test.update(new, old)
+        watched.verdict = watched.verdict or watched.analysis.update(new, old)
 
     def _advance(self, state: RolloutState) -> None:
         watched = self.watched[state.service]
         if watched.number != state.number:
             return
         now = self.scheduler.now()
-        after = next_state(state, self._situation(state, watched, now))
+        after = next_state(state, self._observation(state, watched, now))
         elapsed_ms = watched.elapsed_ns(now) // NS_PER_MS
         if after == state and elapsed_ms - state.elapsed_ms < PROGRESS_INTERVAL_MS:
             return
         self._write(state, replace(after, elapsed_ms=elapsed_ms), watched)
 
-    def _situation(self, state: RolloutState, watched: RolloutWatch, now: int) -> RolloutObservation:
+    def _observation(self, state: RolloutState, watched: RolloutWatch, now: int) -> RolloutObservation:
         own = [server for server in self.servers if server.service == state.service]
         new = [server for server in own if server.software == state.version]
         old = [server for server in own if server.software != state.version]
@@ -225,7 +225,7 @@
             full_share_ns=now - watched.full_at if watched.full_at else 0,
             new_ready=sum(server.ready for server in new),
             old_ready=sum(server.ready for server in old),
-            answers=watched.test.answers.total,
+            answers=watched.analysis.answers.total,
             old_inflight=sum(loads[s.instance_id].requests for s in old if s.instance_id in loads),
             is_bad=watched.verdict is not None,
             all_answers=self.evidence.total(state.number),
@@ -247,7 +247,7 @@
             self._log_step(after, watched)
 
     def _log_step(self, state: RolloutState, watched: RolloutWatch) -> None:
-        answers = watched.test.answers
+        answers = watched.analysis.answers
         verdict = watched.verdict
         self.log.info(
             "rollout",
--- a/iristrack/controlplane/weights.py
+++ b/iristrack/controlplane/weights.py
@@ -49,7 +49,7 @@
         self.duty = DutyHolder(scheduler, register, topics.WEIGHTS_DUTY, self.lease, publish, log)
         self.orders = WeightOrders(scheduler, self.lease, log)
         self.servers: list[ListedServer] = []
-        self.roll = RollingUpgrade()
+        self.rolling_upgrade = RollingUpgrade()
         self._last_published: BusyServers | None = None
         self._upgraded: dict[tuple[str, str], int] = {}  # by (instance, model): reported revision
         self._updates = 0
@@ -60,19 +60,19 @@
         if update.topic == topics.WEIGHTS_DUTY:
             self.duty.on_value(update.value)
         elif update.topic == topics.SERVERS:
-            self._take_list(update.value)
+            self._apply_list(update.value)
 
     def _run(self) -> None:
         while True:
             self.scheduler.sleep(TICK_NS)
             # Without work no member needs to hold the duty.
-            has_work = bool(self._needed_upgrades()) or self.roll.in_progress
+            has_work = bool(self._needed_upgrades()) or self.rolling_upgrade.in_progress
             if has_work and self.duty.maintain():
                 self._give_orders()
 
     def _give_orders(self) -> None:
         now = self.scheduler.now()
-        upgrades = self.roll.next_orders(
+        upgrades = self.rolling_upgrade.next_orders(
             self._needed_upgrades(), sum(bool(s.models) for s in self.servers), now
         )
         self._publish_busy()
@@ -82,7 +82,7 @@
     def _needed_upgrades(self) -> list[Upgrade]:
         return [u for u in wanted_upgrades(self.servers, self.named_revisions()) if not self._is_upgraded(u)]
 
-    def _take_list(self, value: bytes) -> None:
+    def _apply_list(self, value: bytes) -> None:
         decoded = decode_value(value, ServersValue)
         if decoded is None:
             return
@@ -101,16 +101,20 @@
         finally:
             if is_upgraded:
                 self._upgraded[upgrade.instance_id, upgrade.model] = upgrade.revision
-                self.roll.ended(upgrade.instance_id)
+                self.rolling_upgrade.ended(upgrade.instance_id)
             else:
-                self.roll.postpone(upgrade.instance_id, self.scheduler.now())
+                self.rolling_upgrade.postpone(upgrade.instance_id, self.scheduler.now())
             self._publish_busy()
 
     def _publish_busy(self) -> None:
         taken = (
             InstanceRevision(name, model, revision) for (name, model), revision in self._upgraded.items()
         )
-        busy = BusyServers(tuple(sorted(self.roll.ordered)), tuple(sorted(self.roll.preparing)), tuple(taken))
+        busy = BusyServers(
+            tuple(sorted(self.rolling_upgrade.ordered)),
+            tuple(sorted(self.rolling_upgrade.preparing)),
+            tuple(taken),
+        )
         if self.lease.holding is None or busy == self._last_published:
             return
         self._last_published = busy
