--- a/tests/configuration/test_amendment.py
+++ b/tests/configuration/test_amendment.py
@@ -1,4 +1,4 @@
-"""Amendments: what is refused and where, and that the typed way and the document's way give the same configuration."""
+"""Amendments: what is refused and where, and that amending the typed model and the document gives the same result."""
 
 from __future__ import annotations
 
@@ -64,11 +64,11 @@
         (amendment(upsert={"services": [{"label": []}]}, remove={"services": ["x"]}), "upsert.services[0].label"),
     ],
 )  # fmt: skip
-def test_what_cannot_be_meant_is_found_with_its_place(body: bytes, place: str) -> None:
+def test_an_invalid_amendment_is_reported_with_its_place(body: bytes, place: str) -> None:
     assert places(body) == [place]
 
 
-def test_items_are_replaced_in_their_places_added_at_the_end_and_removed() -> None:
+def test_items_are_replaced_in_place_added_at_the_end_and_removed() -> None:
     document = sample_document()
     before = copy.deepcopy(document)
     changed = document["route_table"][0] | {"timeout_ms": 77}
@@ -85,7 +85,7 @@
     assert read_configuration(encode(result)).is_ok()
 
 
-def test_to_remove_what_is_not_there_changes_nothing_else() -> None:
+def test_removing_an_absent_item_changes_nothing_else() -> None:
     document = sample_document()
     result, _ = applied(document, amendment(remove={"route_table": ["no such"], "tenants": ["nobody"]}))
     assert result == document | {"revision": 9}
@@ -102,21 +102,19 @@
         ),
     ],
 )
-def test_what_no_longer_fits_together_is_found_in_the_configuration_that_would_result(
-    body: bytes, place: str
-) -> None:
+def test_inconsistencies_of_the_resulting_configuration_are_reported(body: bytes, place: str) -> None:
     _, found = applied(sample_document(), body)
     assert place in found
 
 
-def test_a_key_of_another_tenant_is_found() -> None:
+def test_a_key_of_another_tenant_is_reported() -> None:
     document = sample_document()
     key = document["tenants"][0]["api_keys"][0]
     _, found = applied(document, amendment(upsert={"tenants": [{"label": "new", "api_keys": ["k", key]}]}))
     assert found == [f"tenants[{len(document['tenants'])}].api_keys[1]"]
 
 
-def test_a_key_can_change_its_tenant_in_one_amendment() -> None:
+def test_a_key_can_move_to_another_tenant_in_one_amendment() -> None:
     document = sample_document()
     first = document["tenants"][0]
     moved = {"label": "new", "api_keys": first["api_keys"]}
@@ -126,13 +124,13 @@
     assert moved in result["tenants"]
 
 
-def test_a_label_that_several_items_bear_cannot_be_amended() -> None:
+def test_a_label_shared_by_several_items_cannot_be_amended() -> None:
     document = sample_document()
     document["route_table"][1]["label"] = "r-split"
     assert applied(document, amendment(remove={"route_table": ["r-split"]}))[1] == ["route_table"]
 
 
-# ---- the typed configuration follows the document
+# ---- the typed configuration equals the amended document
 
 ROUTES = st.dictionaries(
     st.tuples(st.sampled_from(("a.example", "b.example")), st.sampled_from(PREFIXES)),
@@ -169,13 +167,13 @@
 
 
 @given(
-    standing=ROUTES,
+    current=ROUTES,
     steps=st.lists(st.tuples(ROUTES, LABELS, KEYS, st.sets(st.sampled_from(("t1", "t2", "t3"))))),
     keys=st.none() | KEYS,
 )
-def test_the_amended_tables_are_those_of_the_whole_configuration(standing, steps, keys) -> None:
+def test_amended_tables_equal_those_of_the_whole_configuration(current, steps, keys) -> None:
     document = sample_document() | {
-        "route_table": rows_of(standing),
+        "route_table": rows_of(current),
         "services": [{"label": label} for label in SERVICES],
     }
     document["tenants"] = tenants_of(keys or {})
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""Reading of configurations: what is built, and that each fault is found at its place."""
+"""Reading of configurations: what is built, and that each error is reported at its place."""
 
 import json
 from collections.abc import Callable
@@ -141,7 +141,7 @@
     assert parse_configuration(body) == read_configuration(body).ok
 
 
-def test_digest_tells_bodies_apart() -> None:
+def test_digest_distinguishes_bodies() -> None:
     document = sample_document()
     compact = json.dumps(document, separators=(",", ":")).encode()
     assert read_configuration(compact).ok.digest != accepted(document).digest
@@ -225,7 +225,7 @@
         encode(sample_document()).replace(b"5000", b"9" * 41, 1),
     ],
 )
-def test_what_is_no_whole_json_object_is_refused(body: bytes) -> None:
+def test_a_body_that_is_not_one_json_object_is_refused(body: bytes) -> None:
     findings = read_configuration(body).error
     assert [finding.place for finding in findings] == ["document"]
 
@@ -261,7 +261,7 @@
 
 
 @given(steps=st.sampled_from(value_places(sample_document())), value=JSON_VALUES)
-def test_any_value_anywhere_is_accepted_or_found_without_an_exception(
+def test_any_value_anywhere_is_accepted_or_reported_without_an_exception(
     steps: tuple[Any, ...], value: Any
 ) -> None:
     document = sample_document()
@@ -276,7 +276,7 @@
         assert all(finding.place and finding.problem and finding.remedy for finding in result.error)
 
 
-def test_findings_are_collected_and_say_problem_and_remedy() -> None:
+def test_findings_are_collected_with_problem_and_remedy() -> None:
     document = sample_document()
     del document["revision"]
     document["route_table"][0]["timeout_ms"] = 0
@@ -293,7 +293,7 @@
     assert "nowhere" in findings[2].problem
 
 
-def test_unknown_services_are_not_reported_beside_faulty_services() -> None:
+def test_unknown_services_are_not_reported_if_services_are_invalid() -> None:
     document = sample_document()
     document["services"][1] = {"label": 5}
     document["route_table"][0]["timeout_ms"] = 0
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_each_fault_is_found_at_its_place(name: str) -> None:
+def test_each_error_is_reported_at_its_place(name: str) -> None:
     mutate, place = INVALID[name]
     document = sample_document()
     mutate(document)
@@ -427,7 +427,7 @@
 
 
 @given(count=st.integers(1, CROWD), data=st.data())
-def test_any_single_fault_of_a_route_is_named_with_its_position(count: int, data: st.DataObject) -> None:
+def test_any_single_error_in_a_route_is_reported_with_its_position(count: int, data: st.DataObject) -> None:
     document = crowded_document(count)
     accepted(document)
     position = data.draw(st.integers(0, count - 1))
@@ -437,7 +437,7 @@
 
 
 @given(pair=st.lists(st.integers(0, CROWD - 1), min_size=2, max_size=2, unique=True).map(sorted))
-def test_any_repeated_route_is_named_with_both_positions(pair: list[int]) -> None:
+def test_any_repeated_route_is_reported_with_both_positions(pair: list[int]) -> None:
     first, second = pair
     document = crowded_document(CROWD)
     document["route_table"][second]["path_prefix"] = document["route_table"][first]["path_prefix"]
@@ -447,7 +447,7 @@
 
 
 @given(pair=st.lists(st.integers(0, CROWD - 1), min_size=2, max_size=2, unique=True).map(sorted))
-def test_any_shared_key_is_named_with_both_positions(pair: list[int]) -> None:
+def test_any_shared_key_is_reported_with_both_positions(pair: list[int]) -> None:
     first, second = pair
     document = crowded_document(CROWD)
     document["tenants"][second]["api_keys"].append(f"k{first}")
@@ -468,6 +468,6 @@
 
 
 @pytest.mark.parametrize(("current", "proposed"), [(7, 8), (7, 70), (None, 1), (None, 12)])
-def test_risen_revision_is_permitted(current: int | None, proposed: int) -> None:
+def test_higher_revision_is_permitted(current: int | None, proposed: int) -> None:
     current_configuration = None if current is None else with_revision(current)
     assert check_successor(current_configuration, with_revision(proposed)) == ()
--- a/tests/configuration/test_routes.py
+++ b/tests/configuration/test_routes.py
@@ -1,4 +1,4 @@
-"""Look-up of routes and tenants, against a search of the whole table."""
+"""Look-up of routes and tenants, compared with a linear search."""
 
 import pytest
 from hypothesis import given
@@ -91,7 +91,7 @@
     assert (route.label if route else None) == label
 
 
-def test_query_string_meets_no_prefix() -> None:
+def test_query_string_is_not_matched_against_prefixes() -> None:
     table = RouteTable(configuration_of([("a.example", "/x?/"), ("a.example", "/x/")]))
     assert table.match("a.example", "/x?/1") is None
     assert table.match("a.example", "/x/?/1").path_prefix == "/x/"
--- a/tests/configuration/test_schema_check.py
+++ b/tests/configuration/test_schema_check.py
@@ -1,4 +1,4 @@
-"""The quick look at documents: what it allows cerberus allows, and sound documents need no cerberus."""
+"""The fast check of documents: it accepts only what cerberus accepts, and valid documents need no cerberus."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     "zones": {"z": "r"}, "rule_bounds": {"grace_s": 8, "revoke_global": True}, "bootstrap": True, "data_dir": None,
     "provider_api": {"address": "10.0.0.3:80", "rate_per_s": 4.0}, "active_rules": ["base"],
 }  # fmt: skip
-ODD = st.recursive(
+ARBITRARY_VALUES = st.recursive(
     st.none()
     | st.booleans()
     | st.integers(-3, 3)
@@ -55,24 +55,24 @@
     return copied
 
 
-@given(data=st.data(), value=ODD, drop=st.booleans())
-def test_what_is_plainly_valid_has_no_findings(data: st.DataObject, value: object, drop: bool) -> None:
+@given(data=st.data(), value=ARBITRARY_VALUES, drop=st.booleans())
+def test_plainly_valid_documents_have_no_findings(data: st.DataObject, value: object, drop: bool) -> None:
     schema, document = data.draw(
         st.sampled_from([(settings._SCHEMA, SETTINGS), (configuration._OUTLINE, sample_document())])
     )
-    odd = changed(document, data.draw(st.sampled_from(places(document))), value, drop)
-    findings = cerberus_findings(schema, odd)
-    if is_plainly_valid(schema, odd):
+    arbitrary = changed(document, data.draw(st.sampled_from(places(document))), value, drop)
+    findings = cerberus_findings(schema, arbitrary)
+    if is_plainly_valid(schema, arbitrary):
         assert findings == ()
-    assert schema_findings(schema, odd) == findings
+    assert schema_findings(schema, arbitrary) == findings
 
 
-def test_sound_documents_are_plainly_valid() -> None:
+def test_valid_documents_are_plainly_valid() -> None:
     assert is_plainly_valid(settings._SCHEMA, SETTINGS)
     assert is_plainly_valid(configuration._OUTLINE, sample_document())
 
 
-def test_a_rule_that_the_quick_look_does_not_know_is_left_to_cerberus() -> None:
+def test_a_rule_unknown_to_the_fast_check_is_left_to_cerberus() -> None:
     schema = {"name": {"type": "string", "allowed": ["a"]}}
     assert not is_plainly_valid(schema, {"name": "a"})
     assert not is_plainly_valid(schema, {})
@@ -80,7 +80,7 @@
     assert [finding.place for finding in schema_findings(schema, {"name": "b"})] == ["name"]
 
 
-def test_a_data_plane_with_sound_settings_does_not_load_cerberus() -> None:
+def test_a_data_plane_with_valid_settings_does_not_load_cerberus() -> None:
     program = (
         "import sys; from iristrack.settings import read_settings; import iristrack.cli.dataplane\n"
         f"assert read_settings({json.dumps(SETTINGS).encode()!r}).is_ok()\n"
--- a/tests/state/test_restart.py
+++ b/tests/state/test_restart.py
@@ -54,7 +54,7 @@
     assert ended(one, signal.SIGTERM) == 0
     snapshot, meta = kept(folder)
     assert set(snapshot["servers"]) == {"s0", "s1", "s2"} and meta["name"] == "n0"
-    assert snapshot["classes"]["view"]["mean"] < 10**9, "it has met answers"
+    assert snapshot["classes"]["view"]["mean"] < 10**9, "the mean reflects received answers"
     two = started(tmp_path, discovery, "two", folder)
     until(lambda: "3 servers are known" in two.log.read_text())
     until(lambda: kept(folder)[1]["at"] > meta["at"])
--- a/tests/state/test_state_store.py
+++ b/tests/state/test_state_store.py
@@ -85,7 +85,7 @@
     store, _ = opened(FaultyFileSystem(), warnings)
     assert store.checkpoint([]) and not store.append([("x", b"." * 70_000)]) and "left out" in warnings[0]
     full = [("x", b"." * 60_000)] * 100
-    assert store.append(full) and not store.append(full), "a journal has a bound"
+    assert store.append(full) and not store.append(full), "the size of a journal is limited"
 
 
 def run_process(files: FaultyFileSystem, warnings: list[str], tried: list[list]) -> None:
@@ -137,7 +137,7 @@
     assert store.checkpoint(RECORDS) and store.append([("a", 1)])
     files.fail_at, files.how = files.calls, "ENOSPC"
     assert not store.append([("a", 2)]) and "ENOSPC" in warnings[0]
-    assert not store.append([("a", 3)]), "nothing may stand behind what may be half a record"
+    assert not store.append([("a", 3)]), "nothing may be appended after a possibly partial record"
     assert store.checkpoint(RECORDS) and store.append([("a", 4)])
     store.close()
     _, found = opened(files)
@@ -192,7 +192,7 @@
         and "checkpoint.1" in found.notes[0]
     )
     assert not (tmp_path / "checkpoint.7.new").exists()
-    assert store.checkpoint([("next", 3)]), "and its number is not used again"
+    assert store.checkpoint([("next", 3)]), "the number of the corrupt generation is not reused"
     store.close()
     assert (tmp_path / "checkpoint.2").exists()
 
--- a/tests/state/test_sync_thread.py
+++ b/tests/state/test_sync_thread.py
@@ -106,7 +106,7 @@
     assert store.entered.wait(LONG_S)
     for n in range(50):
         host.submit(n, register_record(f"a{n}"), register_record(f"b{n}"))
-    assert host.outcomes == [], "nothing is told before it is synced"
+    assert host.outcomes == [], "nothing is reported before it is synced"
     store.let.set()
     host.run_until_reported("last", register_record("last"))
     sizes = [len(batch) for batch in store.appends]
