--- a/iristrack/wire/__init__.py
+++ b/iristrack/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between this project's own processes, and their Avro encoding."""
+"""Typed messages between this project's processes, their Avro encoding and their connections."""
--- a/iristrack/wire/codec.py
+++ b/iristrack/wire/codec.py
@@ -1,15 +1,19 @@
-"""Frames on an inner connection: a length, a message kind, a schema version and an Avro body.
+"""Encode and decode the frames on connections between this project's processes.
 
-    frame    u32 length of what follows | u16 message kind | u16 schema version | Avro body, all big-endian
+A frame is a length, a message kind, a schema version and an Avro body. The header is big-endian:
 
-A body over `COMPRESS_OVER` bytes stands there as zlib makes it, where that is shorter, and the version's highest bit
-says so: configurations and lists shrink to a fraction, which is what links of a few Mbit/s need.
+    frame    u32 length of what follows | u16 message kind | u16 schema version | Avro body
 
-A message is a dataclass of `messages`, a schema file `schemas/<name>.<version>.avsc` for each version that was ever
-sent, and a row of `KINDS`. A new version of a schema only appends fields with defaults to the outermost record: a
-reader of an older program reads the fields that it knows and leaves the rest, a reader of a newer one resolves the
-writer's schema against its own. Any other change is a new kind. Schemas are parsed, and fastavro imported, at the first
-use of a kind; `Registry.load` does it beforehand.
+A body longer than `COMPRESSION_THRESHOLD_BYTES` is compressed with zlib if that makes it shorter; the highest bit of
+the version marks it as compressed. Configurations and server lists shrink to a fraction of their size, which matters on
+links of a few Mbit/s.
+
+A message type consists of a dataclass in `messages`, a schema file `schemas/<name>.<version>.avsc` for each version
+that was ever sent, and an entry in `KINDS`. A new version of a schema may only append fields with defaults to the
+outermost record: an older program reads the fields it knows and ignores the rest, and a newer program resolves the
+writer's schema against its own. Any other change needs a new message kind.
+
+Schemas are parsed, and fastavro is imported, at the first use of a kind; `Registry.load` does both in advance.
 """
 
 from __future__ import annotations
@@ -28,40 +32,40 @@
 from iristrack.wire import messages
 from iristrack.wire.messages import Message
 
-MOST_FRAME_BYTES = 16 * 1024 * 1024  # of a whole frame, its header included
-COMPRESS_OVER = 1024  # bytes of a body
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # of a complete frame including its header
+COMPRESSION_THRESHOLD_BYTES = 1024  # longer bodies are compressed
 COMPRESSION_LEVEL = 1
-COMPRESSED = 0x8000  # of the schema version
+COMPRESSED_FLAG = 0x8000  # bit of the schema version in the frame header
 SCHEMA_FOLDER = Path(__file__).parent / "schemas"
 
 _LENGTH = struct.Struct(">I")
 _HEADER = struct.Struct(">IHH")
-_FEWEST_LENGTH = _HEADER.size - _LENGTH.size
-_MOST_LENGTH = MOST_FRAME_BYTES - _LENGTH.size
-_WORD_START = re.compile(r"(?<=[a-z0-9])(?=[A-Z])")
+_MIN_LENGTH_BYTES = _HEADER.size - _LENGTH.size
+_MAX_LENGTH_BYTES = MAX_FRAME_BYTES - _LENGTH.size
+_WORD_BOUNDARY = re.compile(r"(?<=[a-z0-9])(?=[A-Z])")
 
 Converter = Callable[[Any], Any]
 
 
 class WireError(Exception):
-    """The bytes of a connection cannot be cut into frames any more: it has to be closed."""
+    """The byte stream can no longer be split into frames; the connection must be closed."""
 
 
 class FrameTooLarge(WireError):
-    """A frame over `MOST_FRAME_BYTES`."""
+    """A frame is longer than `MAX_FRAME_BYTES`."""
 
 
 class FrameTooShort(WireError):
-    """A frame whose length does not even hold its kind and version."""
+    """A frame's length is too small for its kind and version."""
 
 
 class SpoiltBody(ValueError):
-    """A frame's body is not what its kind and version say; the frames behind it are not affected."""
+    """A frame's body does not match its kind and version; later frames are not affected."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageKind:
-    """One row of the registry; `version` is the newest of its schemas, which count from 1."""
+    """An entry of the registry; `version` is that of the newest schema, counted from 1."""
 
     number: int
     message_type: type
@@ -69,11 +73,11 @@
 
     @property
     def schema_name(self) -> str:
-        """The first part of its schema files' names: `MessageKind` is `message_kind`."""
-        return _WORD_START.sub("_", self.message_type.__name__).lower()
+        """The message type's name in snake case, with which its schema file names begin."""
+        return _WORD_BOUNDARY.sub("_", self.message_type.__name__).lower()
 
 
-KINDS = (  # a number is never used again; 9 was a view of the members
+KINDS = (  # numbers are never reused; 9 was a view of the members
     MessageKind(1, messages.Hello, version=2),
     MessageKind(2, messages.Prepare, version=3),
     MessageKind(3, messages.Promise, version=2),
@@ -105,88 +109,90 @@
     """Encodes and decodes the bodies of one message type."""
 
     def __init__(self, message_type: type, schemas: Sequence[dict]) -> None:
-        """`schemas` are those of versions 1, 2 and so on; the last is the one that is written."""
+        """`schemas` are in order of version, starting with version 1; messages are written with the last one."""
         from fastavro import parse_schema, schemaless_reader, schemaless_writer
 
         self._read = schemaless_reader
         self._write = schemaless_writer
         self._schemas = [parse_schema(schema) for schema in schemas]
         self._newest = self._schemas[-1]
-        self._to_record = _record_maker(message_type)
-        self._from_record = _message_maker(message_type)
+        self._to_record = _to_record_converter(message_type)
+        self._from_record = _from_record_converter(message_type)
 
     @property
     def version(self) -> int:
-        """The schema version that is written."""
+        """The schema version that messages are written with."""
         return len(self._schemas)
 
     def encode(self, message: Message) -> bytes:
-        """The Avro body of a message."""
+        """Return the Avro body of a message."""
         body = BytesIO()
         self._write(body, self._newest, self._to_record(message))
         return body.getvalue()
 
     def decode(self, version: int, body: bytes) -> Message:
-        """The message that a writer of schema `version` encoded; raises `SpoiltBody`."""
+        """Decode a body that was written with schema `version`; raises `SpoiltBody` if it is invalid."""
         if version < 1:
-            raise SpoiltBody(f"schema version {version} never was")
+            raise SpoiltBody(f"schema version {version} does not exist")
         stream = BytesIO(body)
         try:
             message = self._from_record(self._read_record(version, stream))
-        except Exception as fault:
-            # Guards the connection: fastavro raises nearly anything for bytes that are no Avro.
-            raise SpoiltBody(f"{type(fault).__name__}: {fault}") from fault
+        except Exception as error:
+            # fastavro raises exceptions of many types for invalid input; none of them may end the connection.
+            raise SpoiltBody(f"{type(error).__name__}: {error}") from error
         if stream.tell() != len(body) and version <= self.version:
-            raise SpoiltBody(f"{len(body) - stream.tell()} bytes are left over")
+            raise SpoiltBody(f"{len(body) - stream.tell()} unexpected bytes after the message")
         return message
 
     def _read_record(self, version: int, stream: BytesIO) -> dict:
         if version >= self.version:
-            # A newer writer's fields stand behind those that are known here.
+            # A newer writer's additional fields follow those known here and are ignored.
             return self._read(stream, self._newest, None)
         return self._read(stream, self._schemas[version - 1], self._newest)
 
 
 class Registry:
-    """The message kinds that one version of the program knows."""
+    """The message kinds known to one version of the program."""
 
     def __init__(self, kinds: Sequence[MessageKind], folder: Path = SCHEMA_FOLDER) -> None:
-        """`folder` holds the schema files; none is read yet."""
+        """`folder` contains the schema files, which are read later; raises `ValueError` for duplicate kinds."""
         self._folder = folder
         self._by_number = {kind.number: kind for kind in kinds}
         self._by_type = {kind.message_type: kind for kind in kinds}
         self._codecs: dict[int, Codec] = {}
         if len(self._by_number) != len(kinds) or len(self._by_type) != len(kinds):
-            raise ValueError("a message kind is registered twice")
+            raise ValueError("a message kind or type is registered twice")
 
     def load(self) -> None:
-        """Parse all schemas now rather than at the first message of each kind."""
+        """Parse all schemas now instead of at the first message of each kind."""
         for kind in self._by_number.values():
             self._codec(kind)
 
     def encode(self, message: Message) -> bytes:
-        """A message as a whole frame; raises `FrameTooLarge`, and `KeyError` for a type that is not registered."""
+        """Encode a message as a frame; raises `FrameTooLarge`, or `KeyError` for an unregistered type."""
         kind = self._by_type[type(message)]
         body = self._codec(kind).encode(message)
-        if _FEWEST_LENGTH + len(body) > _MOST_LENGTH:
-            raise FrameTooLarge(f"a {kind.schema_name} holds {len(body)} bytes")
+        if _MIN_LENGTH_BYTES + len(body) > _MAX_LENGTH_BYTES:
+            raise FrameTooLarge(f"the body of a {kind.schema_name} has {len(body)} bytes")
         version = kind.version
-        packed = zlib.compress(body, COMPRESSION_LEVEL) if len(body) > COMPRESS_OVER else body
-        if len(packed) < len(body):
-            version, body = version | COMPRESSED, packed
-        return _HEADER.pack(_FEWEST_LENGTH + len(body), kind.number, version) + body
+        compressed = (
+            zlib.compress(body, COMPRESSION_LEVEL) if len(body) > COMPRESSION_THRESHOLD_BYTES else body
+        )
+        if len(compressed) < len(body):
+            version, body = version | COMPRESSED_FLAG, compressed
+        return _HEADER.pack(_MIN_LENGTH_BYTES + len(body), kind.number, version) + body
 
     def decode(self, number: int, version: int, body: bytes) -> Message | None:
-        """The message of a frame, None for a kind that is not known here; raises `SpoiltBody`."""
+        """Decode the message of a frame, None if its kind is unknown; raises `SpoiltBody` if it is invalid."""
         kind = self._by_number.get(number)
         if kind is None:
             return None
-        if version & COMPRESSED:
-            body = _unpacked(body)
-        return self._codec(kind).decode(version & ~COMPRESSED, body)
+        if version & COMPRESSED_FLAG:
+            body = _decompress(body)
+        return self._codec(kind).decode(version & ~COMPRESSED_FLAG, body)
 
     def schemas(self, kind: MessageKind) -> list[dict]:
-        """The schemas of all versions of a kind, the oldest first."""
+        """Read the schemas of all versions of a kind, oldest first."""
         paths = (
             self._folder / f"{kind.schema_name}.{version}.avsc" for version in range(1, kind.version + 1)
         )
@@ -203,51 +209,51 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message as a whole frame; raises `FrameTooLarge`."""
+    """Encode a message as a frame; raises `FrameTooLarge`."""
     return REGISTRY.encode(message)
 
 
 class FrameReader:
-    """Cuts what a connection receives into messages; one for each connection."""
+    """Splits the byte stream of one connection into messages."""
 
     def __init__(self, registry: Registry = REGISTRY) -> None:
-        """`registry` holds the kinds that are understood."""
-        self.skipped = 0  # frames of an unknown kind or with a spoilt body
+        """`registry` contains the known message kinds."""
+        self.skipped = 0  # number of frames of an unknown kind or with an invalid body
         self._registry = registry
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that `data` completes, in order.
+        """Add received bytes and return the messages that they complete, in order.
 
-        Raises `WireError` where no frame can be cut; the connection is to be closed then, and every later call raises
-        it again. Complete messages before such a frame are lost with the connection.
+        Raises `WireError` if a frame has an invalid length; the connection must then be closed, and every later call
+        raises it again. Messages that the same call decoded before such a frame are lost with the connection.
         """
         self._buffer += data
-        found: list[Message] = []
+        decoded: list[Message] = []
         begin = 0
         while (end := self._frame_end(begin)) is not None:
             message = self._decode(begin, end)
             if message is not None:
-                found.append(message)
+                decoded.append(message)
             begin = end
         if begin:
             del self._buffer[:begin]
-        return found
+        return decoded
 
     def _frame_end(self, begin: int) -> int | None:
-        """The byte behind the frame that begins there; None while it is not complete."""
+        """Return the offset after the frame that begins at `begin`, None if it is incomplete."""
         if len(self._buffer) - begin < _LENGTH.size:
             return None
         (length,) = _LENGTH.unpack_from(self._buffer, begin)
-        if length > _MOST_LENGTH:
-            raise FrameTooLarge(f"a frame announces {length} bytes, {_MOST_LENGTH} at most")
-        if length < _FEWEST_LENGTH:
-            raise FrameTooShort(f"a frame announces {length} bytes, {_FEWEST_LENGTH} at least")
+        if length > _MAX_LENGTH_BYTES:
+            raise FrameTooLarge(f"the frame length is {length} bytes, the maximum is {_MAX_LENGTH_BYTES}")
+        if length < _MIN_LENGTH_BYTES:
+            raise FrameTooShort(f"the frame length is {length} bytes, the minimum is {_MIN_LENGTH_BYTES}")
         end = begin + _LENGTH.size + length
         return end if end <= len(self._buffer) else None
 
     def _decode(self, begin: int, end: int) -> Message | None:
-        """The message of a complete frame; None, and counted, where it says nothing to this program."""
+        """Decode a complete frame; return None and count it if its kind is unknown or its body invalid."""
         _, number, version = _HEADER.unpack_from(self._buffer, begin)
         body = bytes(memoryview(self._buffer)[begin + _HEADER.size : end])
         try:
@@ -259,25 +265,25 @@
         return message
 
 
-def _unpacked(body: bytes) -> bytes:
-    """A body as it was before its compression; raises `SpoiltBody`, also where it would grow beyond a frame."""
-    unpacking = zlib.decompressobj()
+def _decompress(body: bytes) -> bytes:
+    """Decompress a body; raises `SpoiltBody` if it is invalid or the result exceeds the maximum frame size."""
+    decompressor = zlib.decompressobj()
     try:
-        whole = unpacking.decompress(body, MOST_FRAME_BYTES)
-    except zlib.error as fault:
-        raise SpoiltBody(f"not as zlib makes it: {fault}") from fault
-    if not unpacking.eof or unpacking.unused_data:
-        raise SpoiltBody("a compressed body that is cut, too long or followed by more")
-    return whole
+        decompressed = decompressor.decompress(body, MAX_FRAME_BYTES)
+    except zlib.error as error:
+        raise SpoiltBody(f"invalid zlib data: {error}") from error
+    if not decompressor.eof or decompressor.unused_data:
+        raise SpoiltBody("the compressed body is truncated, too long or followed by other bytes")
+    return decompressed
 
 
-# ---- dataclasses to Avro records and back
+# ---- conversion between dataclasses and Avro records
 
 
-def _record_maker(message_type: type) -> Converter:
-    """A function from a message to the dict that fastavro writes."""
+def _to_record_converter(message_type: type) -> Converter:
+    """Return a function that converts a message to the dict that fastavro writes."""
     hints = typing.get_type_hints(message_type)
-    converters = tuple((field.name, _value_to_avro(hints[field.name])) for field in fields(message_type))
+    converters = tuple((field.name, _to_avro_converter(hints[field.name])) for field in fields(message_type))
 
     def to_record(message: Any) -> dict[str, Any]:
         record = {}
@@ -289,11 +295,11 @@
     return to_record
 
 
-def _message_maker(message_type: type) -> Converter:
-    """A function from the dict that fastavro read to a message."""
+def _from_record_converter(message_type: type) -> Converter:
+    """Return a function that converts the dict that fastavro read to a message."""
     hints = typing.get_type_hints(message_type)
-    every = ((field.name, _value_from_avro(hints[field.name])) for field in fields(message_type))
-    converters = tuple((name, convert) for name, convert in every if convert is not None)
+    all_converters = ((field.name, _from_avro_converter(hints[field.name])) for field in fields(message_type))
+    converters = tuple((name, convert) for name, convert in all_converters if convert is not None)
 
     def from_record(record: dict[str, Any]) -> Any:
         for name, convert in converters:
@@ -303,32 +309,32 @@
     return from_record
 
 
-def _value_to_avro(hint: Any) -> Converter | None:
-    """How a field's value becomes one of Avro; None where it is one already."""
+def _to_avro_converter(hint: Any) -> Converter | None:
+    """Return the conversion of a field's value to its Avro value, None if they are the same."""
     if is_dataclass(hint):
-        return _record_maker(hint)
-    item_hint = _tuple_item(hint)
+        return _to_record_converter(hint)
+    item_hint = _tuple_item_type(hint)
     if item_hint is None:
         return None
-    convert = _value_to_avro(item_hint)
+    convert = _to_avro_converter(item_hint)
     if convert is None:
         return list
     return lambda items: [convert(item) for item in items]
 
 
-def _value_from_avro(hint: Any) -> Converter | None:
-    """How a field's value is made of one of Avro; None where it stays as it is."""
+def _from_avro_converter(hint: Any) -> Converter | None:
+    """Return the conversion of an Avro value to a field's value, None if they are the same."""
     if is_dataclass(hint):
-        return _message_maker(hint)
-    item_hint = _tuple_item(hint)
+        return _from_record_converter(hint)
+    item_hint = _tuple_item_type(hint)
     if item_hint is None:
         return None
-    convert = _value_from_avro(item_hint)
+    convert = _from_avro_converter(item_hint)
     if convert is None:
         return tuple
     return lambda items: tuple([convert(item) for item in items])
 
 
-def _tuple_item(hint: Any) -> Any | None:
-    """The type of the items of `tuple[item, ...]`; None for all other types."""
+def _tuple_item_type(hint: Any) -> Any | None:
+    """Return the item type of `tuple[item, ...]`, None for all other types."""
     return typing.get_args(hint)[0] if typing.get_origin(hint) is tuple else None
--- a/iristrack/wire/connection.py
+++ b/iristrack/wire/connection.py
@@ -1,4 +1,7 @@
-"""A connection between two of this project's processes: frames out of a bounded queue, frames in to a handler."""
+"""A connection between two of this project's processes.
+
+Outgoing frames wait in a bounded queue; incoming messages are passed to a handler.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 from iristrack.wire.messages import Message
 
 NS_PER_MS = 1_000_000
-RECEIVE = 64 * 1024
-MOST_QUEUED_BYTES = 32 << 20  # to a peer that does not read; over it the connection ends
-USER_TIMEOUT_MS = 2500  # unacknowledged data for so long ends a connection
-MOST_WRITE = 64 * 1024  # bytes of frames that are joined
+RECEIVE_BYTES = 64 * 1024
+MOST_QUEUED_BYTES = 32 << 20  # closes the connection if a peer that does not read has more bytes queued
+USER_TIMEOUT_MS = 2500  # closes the connection after this time without acknowledgement of sent data
+MAX_WRITE_BYTES = 64 * 1024  # of several frames joined into one write
 BACKLOG = 512
 RETRY_ACCEPT_NS = 50 * NS_PER_MS
 
 
 class PeerConnection:
-    """One open connection. `on_message` runs in the reading task, `on_close` once, after the end."""
+    """An open connection. `on_message` is called in the read task, `on_close` once when the connection closes."""
 
     def __init__(
         self,
@@ -29,60 +32,61 @@
         on_message: Callable[[PeerConnection, Message], None],
         on_close: Callable[[PeerConnection], None],
     ) -> None:
-        """Takes over `sock`, which is non-blocking and connected."""
+        """Take ownership of `sock`, which must be connected and non-blocking."""
         self.scheduler = scheduler
         self.sock = sock
         self.on_message = on_message
         self.on_close = on_close
         self.closed = False
-        self.heard_at = clock()  # ns, when the peer last said anything, or the connection was opened
-        self.has_spoken = False  # a frozen process's machine takes connections too
+        self.heard_at = clock()  # ns, when data was last received, or the connection was opened
+        # Has data been received? The kernel accepts connections for a frozen process too.
+        self.has_spoken = False
         self.on_drained: Callable[[PeerConnection], None] | None = None  # called when all has been written
-        self.sent_bytes = 0  # given to be sent,
-        self.written_bytes = 0  # and taken by the system
+        self.sent_bytes = 0  # queued for sending since the connection was opened
+        self.written_bytes = 0  # accepted by the kernel
         self.received_bytes = 0
         self._queue: deque[bytes] = deque()
-        self._queued = 0
+        self._queued_bytes = 0
         self._reader = FrameReader()
         set_peer_options(sock)
-        self._reading: Task = scheduler.spawn("peer reader", self._read)
-        self._writing: Task | None = None
+        self._read_task: Task = scheduler.spawn("peer reader", self._read)
+        self._write_task: Task | None = None
 
     @property
     def skipped(self) -> int:
-        """Frames that could not be read."""
+        """Number of received frames of an unknown kind or with an invalid body."""
         return self._reader.skipped
 
     @property
     def queued(self) -> int:
-        """Bytes that wait to be written."""
-        return self._queued
+        """Number of bytes in the send queue."""
+        return self._queued_bytes
 
     def send(self, message: Message) -> None:
-        """Queue a message; a peer that does not read for too long loses the connection."""
+        """Queue a message; closes the connection if more than `MOST_QUEUED_BYTES` are then queued."""
         self.send_frame(encode(message))
 
     def send_frame(self, frame: bytes) -> None:
-        """Queue an encoded message."""
+        """Queue an encoded message, with the same limit as `send`."""
         if self.closed:
             return
         self._queue.append(frame)
-        self._queued += len(frame)
+        self._queued_bytes += len(frame)
         self.sent_bytes += len(frame)
-        if self._queued > MOST_QUEUED_BYTES:
+        if self._queued_bytes > MOST_QUEUED_BYTES:
             self.close()
-        elif self._writing is None:
-            self._writing = self.scheduler.spawn("peer writer", self._write)
+        elif self._write_task is None:
+            self._write_task = self.scheduler.spawn("peer writer", self._write)
 
     def close(self) -> None:
-        """End the connection now."""
+        """Close the connection immediately; queued frames are discarded."""
         if self.closed:
             return
         self.closed = True
         self._queue.clear()
-        self._reading.cancel()
-        if self._writing is not None:
-            self._writing.cancel()
+        self._read_task.cancel()
+        if self._write_task is not None:
+            self._write_task.cancel()
         self.on_close(self)
 
     def _read(self) -> None:
@@ -90,7 +94,7 @@
             while not self.closed:
                 self.scheduler.wait(self.sock.fileno(), READ, None)
                 try:
-                    data = self.sock.recv(RECEIVE)
+                    data = self.sock.recv(RECEIVE_BYTES)
                 except BlockingIOError:
                     continue
                 if not data:
@@ -107,28 +111,28 @@
             self.sock.close()
 
     def _write(self) -> None:
-        """Write the queue, several small frames at a time."""
+        """Write the queued frames, joining small ones."""
         try:
             while self._queue and not self.closed:
-                self._send(self._next_bytes())
+                self._send_all(self._next_chunk())
                 if not self._queue and self.on_drained is not None:
                     self.on_drained(self)
-            self._writing = None
+            self._write_task = None
         except (OSError, Cancelled):
-            self._writing = None
+            self._write_task = None
             self.close()
 
-    def _next_bytes(self) -> bytes:
-        """The first frames of the queue, as many as fit into one write, or one that is longer."""
+    def _next_chunk(self) -> bytes:
+        """Remove and return the first frames that fit into `MAX_WRITE_BYTES`, or one frame if it is longer."""
         frames = [self._queue.popleft()]
         length = len(frames[0])
-        while self._queue and length + len(self._queue[0]) <= MOST_WRITE:
+        while self._queue and length + len(self._queue[0]) <= MAX_WRITE_BYTES:
             frames.append(self._queue.popleft())
             length += len(frames[-1])
-        self._queued -= length
+        self._queued_bytes -= length
         return frames[0] if len(frames) == 1 else b"".join(frames)
 
-    def _send(self, data: bytes) -> None:
+    def _send_all(self, data: bytes) -> None:
         view = memoryview(data)
         while view:
             try:
@@ -139,7 +143,7 @@
                 self._wait_writable()
 
     def _wait_writable(self) -> None:
-        # The reading task waits on the descriptor, and the scheduler knows one waiter for each: a copy is waited on.
+        # The scheduler allows one waiter per descriptor, and the read task waits on this one: wait on a duplicate.
         copy = self.sock.dup()
         try:
             self.scheduler.wait(copy.fileno(), WRITE, None)
@@ -148,12 +152,12 @@
 
 
 class PeerListener:
-    """Accepts inner connections and hands each socket on."""
+    """Accepts connections from other processes and passes each socket to `on_socket`."""
 
     def __init__(
         self, scheduler: Scheduler, address: tuple[str, int], on_socket: Callable[[socket.socket], None]
     ) -> None:
-        """Raises `OSError` where the address cannot be had."""
+        """Raises `OSError` if the address cannot be bound."""
         self.scheduler = scheduler
         self.on_socket = on_socket
         self.listener = listening(address, BACKLOG)
@@ -170,7 +174,7 @@
         except (BlockingIOError, ConnectionAbortedError):
             return
         except OSError:
-            # No descriptor is left: an accept that fails at once would spin the loop.
+            # No descriptor is free. Pause, because an accept that fails at once would make the event loop spin.
             self.scheduler.unwatch(self.listener.fileno())
             self.scheduler.call_at(clock() + RETRY_ACCEPT_NS, self._watch)
             return
@@ -178,13 +182,13 @@
         self.on_socket(sock)
 
     def stop(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         self._stopped = True
         self.scheduler.unwatch(self.listener.fileno())
         self.listener.close()
 
 
 def set_peer_options(sock: socket.socket) -> None:
-    """No delay for small messages, and an end where the peer's machine is silent."""
+    """Send small messages without delay, and time out when the peer's machine acknowledges nothing."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/iristrack/wire/values.py
+++ b/iristrack/wire/values.py
@@ -1,4 +1,7 @@
-"""Values of topics and registers as bytes: one message in its frame, so that they evolve like all messages."""
+"""Values of topics and registers as bytes.
+
+A value is one message in its frame, so its schema evolves like that of every other message.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 def decode_value(data: bytes, expected: type[Value]) -> Value | None:
-    """The message of that type in `data`; None where there is none, or it cannot be read."""
+    """Decode the only message in `data`; return None if it is invalid or not of the expected type."""
     try:
         messages = FrameReader().feed(data)
     except WireError:
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -19,9 +19,9 @@
 
 from iristrack.wire import codec, messages
 from iristrack.wire.codec import (
-    COMPRESSED,
+    COMPRESSED_FLAG,
     KINDS,
-    MOST_FRAME_BYTES,
+    MAX_FRAME_BYTES,
     REGISTRY,
     FrameReader,
     FrameTooLarge,
@@ -149,41 +149,41 @@
 
 def test_an_oversized_frame_is_neither_written_nor_waited_for() -> None:
     with pytest.raises(FrameTooLarge):
-        encode(messages.Update("t", 1, bytes(MOST_FRAME_BYTES)))
+        encode(messages.Update("t", 1, bytes(MAX_FRAME_BYTES)))
     reader = FrameReader()
     with pytest.raises(FrameTooLarge):
-        reader.feed(struct.pack(">I", MOST_FRAME_BYTES - 4 + 1))
+        reader.feed(struct.pack(">I", MAX_FRAME_BYTES - 4 + 1))
     with pytest.raises(FrameTooLarge):
         reader.feed(encode(messages.KeptBatch()))
-    assert FrameReader().feed(struct.pack(">I", MOST_FRAME_BYTES - 4)) == []
+    assert FrameReader().feed(struct.pack(">I", MAX_FRAME_BYTES - 4)) == []
 
 
 def test_the_largest_frame_is_taken() -> None:
-    noise = random.Random(1).randbytes(MOST_FRAME_BYTES)  # which no compression makes shorter
-    overhead = len(encode(messages.Update("t", 1, noise[:-100]))) - (MOST_FRAME_BYTES - 100)
+    noise = random.Random(1).randbytes(MAX_FRAME_BYTES)  # which no compression makes shorter
+    overhead = len(encode(messages.Update("t", 1, noise[:-100]))) - (MAX_FRAME_BYTES - 100)
     message = messages.Update("t", 1, noise[:-overhead])
     frame = encode(message)
-    assert len(frame) == MOST_FRAME_BYTES and FrameReader().feed(frame) == [message]
+    assert len(frame) == MAX_FRAME_BYTES and FrameReader().feed(frame) == [message]
 
 
 def test_a_long_body_is_compressed_and_comes_back() -> None:
     message = messages.Update("t", 1, b'{"label":"r-1"},' * 1000)
     frame = encode(message)
     assert len(frame) < 1000
-    assert struct.unpack(">IHH", frame[:8]) == (len(frame) - 4, 7, 1 | COMPRESSED)
+    assert struct.unpack(">IHH", frame[:8]) == (len(frame) - 4, 7, 1 | COMPRESSED_FLAG)
     assert FrameReader().feed(frame) == [message]
 
 
 def test_a_compressed_body_that_is_spoilt_or_swells_beyond_a_frame_is_skipped() -> None:
-    body = zlib.compress(bytes(MOST_FRAME_BYTES + 1))
-    packed = zlib.compress(b"\x02t\x06\x06abc")
-    for spoilt in (body, packed[:-1], packed + b"x", b"no zlib"):
+    body = zlib.compress(bytes(MAX_FRAME_BYTES + 1))
+    compressed = zlib.compress(b"\x02t\x06\x06abc")
+    for spoilt in (body, compressed[:-1], compressed + b"x", b"no zlib"):
         reader = FrameReader()
-        assert reader.feed(framed(7, 1 | COMPRESSED, spoilt) + encode(messages.KeptBatch())) == [
+        assert reader.feed(framed(7, 1 | COMPRESSED_FLAG, spoilt) + encode(messages.KeptBatch())) == [
             messages.KeptBatch()
         ]
         assert reader.skipped == 1
-    assert FrameReader().feed(framed(7, 1 | COMPRESSED, packed)) == [messages.Update("t", 3, b"abc")]
+    assert FrameReader().feed(framed(7, 1 | COMPRESSED_FLAG, compressed)) == [messages.Update("t", 3, b"abc")]
 
 
 @pytest.mark.parametrize("length", range(4))
