--- a/iristrack/wire/messages.py
+++ b/iristrack/wire/messages.py
@@ -1,7 +1,7 @@
-"""The messages that the data plane and the control plane exchange over their inner connections.
+"""The messages that the processes of the data plane and the control plane exchange.
 
-Each message is a frozen dataclass with a schema of the same name in `schemas/`. Durations are in milliseconds and are
-never dates: the time of day of two machines may differ.
+Each message is a frozen dataclass with a schema of the same name in `schemas/`. Times are sent as durations in
+milliseconds and never as dates, because the clocks of two machines may differ.
 """
 
 from __future__ import annotations
@@ -11,75 +11,74 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """A proposer's round number; of two equal rounds the greater proposer name is the later ballot."""
+    """A proposer's ballot; ballots are ordered by round, and those of the same round by proposer name."""
 
     round: int = 0
     proposer: str = ""
 
 
 NO_BALLOT = Ballot()
-UNFOUNDED = 0  # sequence of the member set that the seeds begin with,
-FOUNDED = 1  # and of the one that they agree on; each change raises it
+UNFOUNDED = 0  # sequence of the member set that the seeds start with
+FOUNDED = 1  # sequence of the first member set that the seeds agree on; each change increases it
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message on each connection, in both directions: who speaks."""
+    """Identifies the sender; the first message on each connection, in both directions."""
 
     node: str
     role: str  # "dataplane" or "controlplane"
-    process: str  # drawn at each start of the process
+    process: str  # random, drawn at each start of the process
     zone: str
     region: str
-    address: str  # ip:port at which the sender accepts inner connections
-    incarnation: str = ""  # of the acceptor; drawn anew when its disk is lost
-    disk: str = ""  # of a core machine: drawn when its disk is first written
+    address: str  # ip:port at which the sender accepts connections from other processes
+    incarnation: str = ""  # of the acceptor; a new one is drawn when its disk is lost
+    disk: str = ""  # of a core machine; drawn when its disk is first written
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """First round: promise to take no ballot under this one, and tell what was accepted."""
+    """Phase 1: ask for a promise to accept no lower ballot, and for the value accepted so far."""
 
-    call: int  # echoed by the answer
+    call: int  # echoed in the answer
     key: str
     ballot: Ballot
-    members: int = FOUNDED  # sequence of the member set that the sender goes by
-    disk: str = ""  # of a recovery: the disk that it fills
-    known: Ballot = (
-        NO_BALLOT  # a promise with this accepted ballot need not bear the value, which the sender holds
-    )
+    members: int = FOUNDED  # sequence of the member set that the sender uses
+    disk: str = ""  # in a recovery: the disk that is being restored
+    # The sender has the value of this ballot: a promise with it as the accepted ballot may omit the value.
+    known: Ballot = NO_BALLOT
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Answer to `Prepare`."""
+    """The answer to `Prepare`."""
 
     call: int
     key: str
     acceptor: str
     incarnation: str
     granted: bool
-    promised: Ballot  # the highest ballot promised; where `granted` is false, the one that forbade it
-    accepted: Ballot  # NO_BALLOT where nothing was accepted
-    value: bytes  # b"" too where not granted, and where `accepted` is the ballot that the sender knows
-    members: int = FOUNDED  # sequence of the acceptor's member set; another than the sender's: not granted
+    promised: Ballot  # the highest ballot promised; if not granted, the ballot that prevented it
+    accepted: Ballot  # NO_BALLOT if nothing was accepted
+    value: bytes  # also b"" if not granted, or if `accepted` is the ballot in `Prepare.known`
+    members: int = FOUNDED  # sequence of the acceptor's member set; not granted if the sender's differs
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Second round: accept the value under the ballot, if nothing higher was promised by this incarnation."""
+    """Phase 2: accept the value with this ballot, unless this incarnation promised a higher one."""
 
     call: int
     key: str
     ballot: Ballot
-    incarnation: str  # of the acceptor that promised; "" where the promise was not from this acceptor
+    incarnation: str  # of the acceptor when it promised; "" if this acceptor made no promise
     value: bytes
     members: int = FOUNDED
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Answer to `Accept`."""
+    """The answer to `Accept`."""
 
     call: int
     key: str
@@ -92,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """How new the receiver's copy of one topic is."""
+    """The sequence of the copy of a topic that a process has."""
 
     topic: str
     sequence: int
@@ -100,16 +99,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for topics; `known` spares what is there already. Each message takes the place of the one before."""
+    """Subscribe to topics; values in `known` are not sent again. Each message replaces the previous one."""
 
     known: tuple[Version, ...] = ()
-    push: bool = True  # also whenever they change; otherwise changes are announced
-    catch_up: bool = True  # what is missed by `known` is sent now
+    push: bool = True  # send values also whenever they change; otherwise changes are only announced
+    catch_up: bool = True  # send the values that are newer than `known` now
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """The newest value of a topic; a receiver keeps the highest sequence that it has seen."""
+    """The newest value of a topic; a receiver keeps the value with the highest sequence."""
 
     topic: str
     sequence: int
@@ -118,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedAge:
-    """How long before the message was sent a revision of a model's weights was named, at least (ms)."""
+    """The minimum time in ms between the naming of a revision of a model's weights and the sending of the message."""
 
     model: str
     revision: int
@@ -127,21 +126,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The sender is alive; `known` lets the receiver send what the sender has missed."""
+    """Shows that the sender is alive; `known` lets the receiver send the values that the sender has missed."""
 
     node: str
     process: str
     count: int
     known: tuple[Version, ...] = ()  # of all topics, or of those that have just changed
-    in_quorum: bool = True  # does a core member reach a quorum of the member set? True from all others
-    named: tuple[
-        NamedAge, ...
-    ] = ()  # revisions of weights; from sidecars where a core member has forgotten them
+    in_quorum: bool = True  # can a core member reach a quorum of the member set? True from other senders
+    named: tuple[NamedAge, ...] = ()  # by sidecars, if a core member lost these revisions
 
 
 @dataclass(frozen=True, slots=True)
 class TakenRevision:
-    """A configuration that was taken, by its number and the digest of its bytes."""
+    """The number of an accepted configuration and the digest of its bytes."""
 
     revision: int
     digest: str
@@ -149,18 +146,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationValue:
-    """The register's value of the configuration; `taken` names the newest ones, this one last."""
+    """The register value of the configuration; `taken` lists the newest configurations, this one last."""
 
     sequence: int
     revision: int
     body: bytes
     taken: tuple[TakenRevision, ...] = ()
-    amendment: bytes = b""  # what made it of the value before it; empty where the whole was replaced
+    amendment: bytes = b""  # the change from the previous value; empty if it was replaced as a whole
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationAmendment:
-    """The configuration `sequence` is the one before it (`sequence` - 1) amended by `body`."""
+    """Configuration `sequence` is the previous one (`sequence` - 1), amended by `body`."""
 
     sequence: int
     body: bytes
@@ -168,32 +165,32 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestQuery:
-    """How new is the configuration that the receiver's acceptor has accepted, acknowledged or not?"""
+    """Ask for the sequence of the newest configuration that the receiver's acceptor accepted, acknowledged or not."""
 
-    call: int  # echoed by the answer
-    members: int  # sequence of the member set that the sender goes by
+    call: int  # echoed in the answer
+    members: int  # sequence of the member set that the sender uses
 
 
 @dataclass(frozen=True, slots=True)
 class NewestAnswer:
-    """Answer to `NewestQuery` by a voting acceptor of that member set; others do not answer."""
+    """The answer to `NewestQuery` by a voting acceptor of that member set; others do not answer."""
 
     call: int
     acceptor: str
     members: int
-    sequence: int  # of the accepted configuration; 0: none
+    sequence: int  # of the accepted configuration; 0 if there is none
 
 
 @dataclass(frozen=True, slots=True)
 class KeyLeaseRequest:
-    """A sidecar asks for a lease on the right to honour keys; `number` is echoed."""
+    """A sidecar's request for a lease on the right to accept keys; `number` is echoed in the answer."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class KeyLeaseGrant:
-    """When the request was sent, no configuration newer than `sequence` had been acknowledged."""
+    """States that no configuration newer than `sequence` had been acknowledged when the request was sent."""
 
     number: int
     sequence: int
@@ -209,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionsValue:
-    """The register's value of the named weights, the newest of each model."""
+    """The register value of the named weights, the newest revision of each model."""
 
     sequence: int
     versions: tuple[ModelRevision, ...] = ()
@@ -217,24 +214,24 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyValue:
-    """The register's value of a duty: who holds it, and the fencing token that its orders carry."""
+    """The register value of a duty: its holder and the fencing token that its orders carry."""
 
     sequence: int
     owner: str  # node name
     process: str
-    fence: int  # raised with each new holder, never reused
-    renewals: int  # raised by the holder while it goes on
+    fence: int  # fencing token; increased with each new holder, never reused
+    renewals: int  # increased by the holder at each renewal
 
 
 @dataclass(frozen=True, slots=True)
 class MembersValue:
-    """A set of acceptors: the inner addresses (ip:port) of all that vote, but for one that has still to recover."""
+    """A set of acceptors by address (ip:port); all of them vote, except one that still has to recover."""
 
     sequence: int
     members: tuple[str, ...] = ()
-    joining: str = ""  # the member that was let in last and has not read yet what the others hold
-    leaving: str = ""  # whose place it takes: no member any more, it may be read from while it is there
-    joining_disk: str = ""  # the joining member's disk, for which alone the leaving one may be read from
+    joining: str = ""  # the member added last, while it has not yet read the others' contents
+    leaving: str = ""  # the former member that it replaces, which may be read from while it is up
+    joining_disk: str = ""  # the joining member's disk; the leaving one may be read from for it only
 
 
 @dataclass(frozen=True, slots=True)
@@ -248,40 +245,38 @@
 
 @dataclass(frozen=True, slots=True)
 class BusyServers:
-    """Servers that take new weights: `instances` turn requests away until they are done, `preparing` are next."""
+    """Servers that load new weights: `instances` reject requests until they have finished, `preparing` are next."""
 
     instances: tuple[str, ...] = ()
-    preparing: tuple[str, ...] = ()  # long answers are better begun elsewhere
-    taken: tuple[InstanceRevision, ...] = ()  # what servers were just seen to hold
+    preparing: tuple[str, ...] = ()  # long answers should be started on other servers
+    taken: tuple[InstanceRevision, ...] = ()  # revisions that servers were just observed to have
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What one or more sidecars have under way at a server."""
+    """The requests that one or more sidecars have in flight at a server."""
 
     instance: str
     requests: int
-    pieces: int  # of prompts, that the server still has to read
+    pieces: int  # pieces of prompts that the server still has to read
     answered: int = 0  # requests that it answered in the last seconds
-    failed: int = 0  # and requests that ended otherwise there
+    failed: int = 0  # requests that ended otherwise at this server in the last seconds
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoads:
-    """What the sender's side has under way: all of it, or what has changed since its message before this one."""
+    """The in-flight load of the sender's sidecars: all of it, or the changes since its previous message."""
 
     node: str
     count: int
     loads: tuple[ServerLoad, ...] = ()
-    sidecars: int = 1  # whose loads these are
-    partial: bool = (
-        False  # only servers with changes are named, and zeros are for those with nothing any more
-    )
+    sidecars: int = 1  # number of sidecars that these loads belong to
+    partial: bool = False  # only servers with changes are listed; those without load have zeros
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One entry of the platform's list."""
+    """A server in the platform's list."""
 
     instance: str
     service: str
@@ -294,43 +289,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ServersValue:
-    """The platform's list, as one core member has fetched it for all."""
+    """The platform's list of servers, fetched by one core member for all members."""
 
     servers: tuple[ServerEntry, ...] = ()
-    software: tuple[str, ...] = ()  # the version of each server's software, in the same order
+    software: tuple[str, ...] = ()  # the software version of each server, in the order of `servers`
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutState:
-    """A roll-out of a new version of a service (`engines/rollouts.py`)."""
+    """The state of a roll-out of a new version of a service (`engines/rollouts.py`)."""
 
     service: str
-    version: str  # of the software of its servers
-    over_ms: int  # from the order to the deadline
+    version: str  # of the software of the service's servers
+    over_ms: int  # time from the order to the deadline
     phase: str
-    share: int  # of the service's requests that the version gets, in thousandths
-    number: int  # of the order: each has a higher one
-    elapsed_ms: int = 0  # since the order, at least, when this was written
+    share: int  # of the service's requests that are sent to this version, in thousandths
+    number: int  # of the order; each new order has a higher one
+    elapsed_ms: int = 0  # minimum time since the order when this value was written
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutsValue:
-    """The register's value of the roll-outs, the newest of each service; written under the duty's fence."""
+    """The register value of the roll-outs, the newest of each service; writes carry the duty's fencing token."""
 
     sequence: int
     rollouts: tuple[RolloutState, ...] = ()
-    fence: int = 0  # of the holder that wrote last
+    fence: int = 0  # fencing token of the holder that wrote last
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCounts:
-    """How requests of one route ended at one server of a service under roll-out, since the sender began to count."""
+    """Results of a route's requests at a server of a service in roll-out, since the sender began to count."""
 
     service: str
     number: int  # of the roll-out
-    is_new: bool  # was the server of the version that is brought in?
+    is_new: bool  # does the server run the new version?
     route: str
-    instance: str  # "" for all servers of the version that is there
+    instance: str  # "" for all servers of the old version together
     good: int
     failed: int
     slow: int
@@ -338,7 +333,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutEvidence:
-    """All that one process of the data plane has counted; each message takes the place of the one before it."""
+    """All counts of one process of the data plane; each message replaces the previous one."""
 
     process: str
     count: int
@@ -347,7 +342,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartTokens:
-    """How many tokens of a prompt part are kept from now on; 0: none."""
+    """The number of tokens of a prompt part that are cached from now on; 0 if none are."""
 
     part: str
     tokens: int
@@ -355,7 +350,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptParts:
-    """What changed at one holder under one salt and model; `reset`: all that was known of the holder is void."""
+    """Changes at one holder for one salt and model; `reset` invalidates all earlier information on the holder."""
 
     holder: str  # ip:port of a server or a store
     reset: bool
@@ -366,16 +361,16 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptBatch:
-    """Changes in the order in which they happened; a connection carries all of them, none twice."""
+    """Changes in the order in which they occurred; a connection carries each change exactly once."""
 
     entries: tuple[KeptParts, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class KeptSubscribe:
-    """Ask for all that holders keep, and for every change from now on; where it `ends`, for nothing any more."""
+    """Subscribe to the cached contents of holders and all later changes; `ends` cancels the subscription."""
 
-    own_only: bool  # only of the holders that the receiver watches itself
+    own_only: bool  # only those of holders that the receiver watches itself
     ends: bool = False
 
 
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames of the inner connections: round trips, any cut, any garbage, and programs of two versions side by side."""
+"""Test frames: round trips, splitting at any offset, invalid input, and programs of two versions together."""
 
 from __future__ import annotations
 
@@ -41,53 +41,53 @@
 }
 
 
-def values(hint: object) -> st.SearchStrategy:
-    """Values of a field's type."""
+def strategy_for(hint: object) -> st.SearchStrategy:
+    """Return a strategy for values of a field's type."""
     if hint in STRATEGIES:
         return STRATEGIES[hint]
     if typing.get_origin(hint) is tuple:
-        return st.lists(values(typing.get_args(hint)[0]), max_size=4).map(tuple)
+        return st.lists(strategy_for(typing.get_args(hint)[0]), max_size=4).map(tuple)
     hints = typing.get_type_hints(hint)
-    return st.builds(hint, **{field.name: values(hints[field.name]) for field in fields(hint)})
+    return st.builds(hint, **{field.name: strategy_for(hints[field.name]) for field in fields(hint)})
 
 
-MESSAGES = st.one_of([values(kind.message_type) for kind in KINDS])
+MESSAGES = st.one_of([strategy_for(kind.message_type) for kind in KINDS])
 
 
-def avro_type(hint: object, named: set[str]) -> object:
-    """What a schema says of a field of this type; `named` holds the records that were spelt out."""
+def avro_type(hint: object, defined: set[str]) -> object:
+    """Return the schema of a field of this type; `defined` collects the record names already defined."""
     if hint in AVRO_NAMES:
         return AVRO_NAMES[hint]
     if typing.get_origin(hint) is tuple:
-        return {"type": "array", "items": avro_type(typing.get_args(hint)[0], named)}
+        return {"type": "array", "items": avro_type(typing.get_args(hint)[0], defined)}
     assert is_dataclass(hint)
-    if hint.__name__ in named:
+    if hint.__name__ in defined:
         return hint.__name__
-    named.add(hint.__name__)
+    defined.add(hint.__name__)
     hints = typing.get_type_hints(hint)
     return {
         "type": "record",
         "name": hint.__name__,
         "fields": [
-            {"name": field.name, "type": avro_type(hints[field.name], named)} for field in fields(hint)
+            {"name": field.name, "type": avro_type(hints[field.name], defined)} for field in fields(hint)
         ],
     }
 
 
 def without_defaults(schema: dict) -> dict:
-    """A schema's record without what a dataclass does not say."""
-    kept = [{"name": field["name"], "type": field["type"]} for field in schema["fields"]]
-    return {"type": schema["type"], "name": schema["name"], "fields": kept}
+    """Return a schema reduced to what a dataclass defines."""
+    bare_fields = [{"name": field["name"], "type": field["type"]} for field in schema["fields"]]
+    return {"type": schema["type"], "name": schema["name"], "fields": bare_fields}
 
 
-def test_every_message_is_registered_once_and_its_newest_schema_says_what_its_dataclass_says() -> None:
+def test_every_message_is_registered_once_and_its_newest_schema_matches_its_dataclass() -> None:
     assert {kind.message_type for kind in KINDS} == set(typing.get_args(messages.Message))
     for kind in KINDS:
         newest = REGISTRY.schemas(kind)[-1]
         assert without_defaults(newest) == avro_type(kind.message_type, set()), kind.schema_name
 
 
-def test_a_schema_only_ever_grows_at_its_end_and_with_defaults() -> None:
+def test_a_new_schema_version_only_appends_fields_with_defaults() -> None:
     for kind in KINDS:
         schemas = REGISTRY.schemas(kind)
         for older, newer in itertools.pairwise(schemas):
@@ -96,9 +96,9 @@
             assert all("default" in field for field in newer["fields"][known:]), kind.schema_name
 
 
-def test_no_schema_file_is_without_its_row() -> None:
-    rows = {f"{kind.schema_name}.{n}.avsc" for kind in KINDS for n in range(1, kind.version + 1)}
-    assert {path.name for path in codec.SCHEMA_FOLDER.glob("*.avsc")} == rows
+def test_every_schema_file_is_registered() -> None:
+    registered = {f"{kind.schema_name}.{n}.avsc" for kind in KINDS for n in range(1, kind.version + 1)}
+    assert {path.name for path in codec.SCHEMA_FOLDER.glob("*.avsc")} == registered
 
 
 def test_a_kind_is_registered_once() -> None:
@@ -108,30 +108,30 @@
 
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.schema_name)
 @given(data=st.data())
-def test_every_message_comes_back(kind: MessageKind, data: st.DataObject) -> None:
-    message = data.draw(values(kind.message_type))
+def test_every_message_survives_a_round_trip(kind: MessageKind, data: st.DataObject) -> None:
+    message = data.draw(strategy_for(kind.message_type))
     reader = FrameReader()
     assert reader.feed(encode(message)) == [message]
     assert reader.skipped == 0
 
 
-def test_a_frame_is_as_documented() -> None:
+def test_a_frame_has_the_documented_layout() -> None:
     frame = encode(messages.Update("t", 3, b"abc"))
-    body = b"\x02t" + b"\x06" + b"\x06abc"  # zigzag lengths and numbers
+    body = b"\x02t" + b"\x06" + b"\x06abc"  # lengths and numbers in zigzag encoding
     assert frame == struct.pack(">IHH", 4 + len(body), 7, 1) + body
 
 
 @given(st.lists(MESSAGES, max_size=6), st.lists(st.integers(0, 2000), max_size=12))
-def test_messages_come_whole_and_in_order_whatever_the_cuts(sent: list, cuts: list[int]) -> None:
+def test_messages_are_complete_and_in_order_for_any_split(sent: list, cuts: list[int]) -> None:
     data = b"".join(encode(message) for message in sent)
-    places = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
+    offsets = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
     reader, received = FrameReader(), []
-    for begin, end in itertools.pairwise(places):
+    for begin, end in itertools.pairwise(offsets):
         received += reader.feed(data[begin:end])
     assert received == sent and reader.skipped == 0
 
 
-def test_messages_come_byte_by_byte() -> None:
+def test_messages_are_read_byte_by_byte() -> None:
     sent = [messages.Subscribe((messages.Version("a", 1),)), messages.Update("a", 2, b"x" * 300)]
     reader, received = FrameReader(), []
     for byte in b"".join(encode(message) for message in sent):
@@ -139,7 +139,7 @@
     assert received == sent
 
 
-def test_a_value_of_8_mib_comes_back_in_pieces() -> None:
+def test_a_value_of_8_mib_survives_a_round_trip_in_pieces() -> None:
     sent = messages.Accept(1, "key", messages.Ballot(1, "a"), "i", b"\xa5" * (8 << 20))
     frame, reader, received = encode(sent), FrameReader(), []
     for begin in range(0, len(frame), 65536):
@@ -147,7 +147,7 @@
     assert received == [sent]
 
 
-def test_an_oversized_frame_is_neither_written_nor_waited_for() -> None:
+def test_an_oversized_frame_is_rejected_by_writer_and_reader() -> None:
     with pytest.raises(FrameTooLarge):
         encode(messages.Update("t", 1, bytes(MAX_FRAME_BYTES)))
     reader = FrameReader()
@@ -158,15 +158,15 @@
     assert FrameReader().feed(struct.pack(">I", MAX_FRAME_BYTES - 4)) == []
 
 
-def test_the_largest_frame_is_taken() -> None:
-    noise = random.Random(1).randbytes(MAX_FRAME_BYTES)  # which no compression makes shorter
-    overhead = len(encode(messages.Update("t", 1, noise[:-100]))) - (MAX_FRAME_BYTES - 100)
-    message = messages.Update("t", 1, noise[:-overhead])
+def test_a_frame_of_maximum_size_is_accepted() -> None:
+    random_bytes = random.Random(1).randbytes(MAX_FRAME_BYTES)  # incompressible
+    overhead = len(encode(messages.Update("t", 1, random_bytes[:-100]))) - (MAX_FRAME_BYTES - 100)
+    message = messages.Update("t", 1, random_bytes[:-overhead])
     frame = encode(message)
     assert len(frame) == MAX_FRAME_BYTES and FrameReader().feed(frame) == [message]
 
 
-def test_a_long_body_is_compressed_and_comes_back() -> None:
+def test_a_long_body_is_compressed_and_survives_a_round_trip() -> None:
     message = messages.Update("t", 1, b'{"label":"r-1"},' * 1000)
     frame = encode(message)
     assert len(frame) < 1000
@@ -174,42 +174,44 @@
     assert FrameReader().feed(frame) == [message]
 
 
-def test_a_compressed_body_that_is_spoilt_or_swells_beyond_a_frame_is_skipped() -> None:
+def test_an_invalid_or_too_large_compressed_body_is_skipped() -> None:
     body = zlib.compress(bytes(MAX_FRAME_BYTES + 1))
     compressed = zlib.compress(b"\x02t\x06\x06abc")
-    for spoilt in (body, compressed[:-1], compressed + b"x", b"no zlib"):
+    for invalid_body in (body, compressed[:-1], compressed + b"x", b"no zlib"):
         reader = FrameReader()
-        assert reader.feed(framed(7, 1 | COMPRESSED_FLAG, spoilt) + encode(messages.KeptBatch())) == [
-            messages.KeptBatch()
-        ]
+        assert reader.feed(
+            make_frame(7, 1 | COMPRESSED_FLAG, invalid_body) + encode(messages.KeptBatch())
+        ) == [messages.KeptBatch()]
         assert reader.skipped == 1
-    assert FrameReader().feed(framed(7, 1 | COMPRESSED_FLAG, compressed)) == [messages.Update("t", 3, b"abc")]
+    assert FrameReader().feed(make_frame(7, 1 | COMPRESSED_FLAG, compressed)) == [
+        messages.Update("t", 3, b"abc")
+    ]
 
 
 @pytest.mark.parametrize("length", range(4))
-def test_a_frame_without_room_for_its_kind_ends_the_connection(length: int) -> None:
+def test_a_frame_too_short_for_its_kind_raises(length: int) -> None:
     with pytest.raises(FrameTooShort):
         FrameReader().feed(struct.pack(">I", length) + bytes(8))
 
 
-def framed(number: int, version: int, body: bytes) -> bytes:
+def make_frame(number: int, version: int, body: bytes) -> bytes:
     return struct.pack(">IHH", 4 + len(body), number, version) + body
 
 
 @pytest.mark.parametrize(
     "frame",
     [
-        framed(60_000, 1, b"of a later program"),
-        framed(8, 0, encode(messages.Heartbeat("n", "p", 1))[8:]),
-        framed(8, 3, encode(messages.Heartbeat("n", "p", 1))[8:] + b"\0"),
-        framed(8, 3, encode(messages.Heartbeat("n", "p", 1))[8:-1]),
-        framed(7, 1, b"\x02\xff\x02\x00"),  # no UTF-8
-        framed(17, 1, b"\xfe\xff\xff\xff\xff\xff\xff\xff\xff\x01"),  # 2 ** 62 entries
-        framed(17, 1, b""),
+        make_frame(60_000, 1, b"of a later program"),
+        make_frame(8, 0, encode(messages.Heartbeat("n", "p", 1))[8:]),
+        make_frame(8, 3, encode(messages.Heartbeat("n", "p", 1))[8:] + b"\0"),
+        make_frame(8, 3, encode(messages.Heartbeat("n", "p", 1))[8:-1]),
+        make_frame(7, 1, b"\x02\xff\x02\x00"),  # invalid UTF-8
+        make_frame(17, 1, b"\xfe\xff\xff\xff\xff\xff\xff\xff\xff\x01"),  # 2 ** 62 entries
+        make_frame(17, 1, b""),
     ],
     ids=["unknown kind", "version 0", "left over", "cut", "no text", "huge array", "empty"],
 )
-def test_a_frame_that_says_nothing_is_skipped_counted_and_costs_no_other(frame: bytes) -> None:
+def test_an_unreadable_frame_is_skipped_and_counted_without_losing_others(frame: bytes) -> None:
     before, after = messages.KeptBatch(), messages.Hello("n", "dataplane", "p", "z", "r", "127.0.0.1:1")
     reader = FrameReader()
     assert reader.feed(encode(before) + frame + encode(after)) == [before, after]
@@ -217,15 +219,17 @@
 
 
 @given(st.sampled_from(KINDS), st.integers(0, 3), st.binary(max_size=120))
-def test_a_body_of_noise_is_skipped_or_a_message(kind: MessageKind, version: int, noise: bytes) -> None:
+def test_a_random_body_is_skipped_or_decoded(kind: MessageKind, version: int, random_bytes: bytes) -> None:
     reader = FrameReader()
-    received = reader.feed(framed(kind.number, version, noise))
+    received = reader.feed(make_frame(kind.number, version, random_bytes))
     assert len(received) + reader.skipped == 1
     assert all(type(message) is kind.message_type for message in received)
 
 
 @given(MESSAGES, st.data())
-def test_a_changed_byte_of_a_body_never_costs_the_next_message(message: object, data: st.DataObject) -> None:
+def test_a_changed_byte_of_a_body_does_not_lose_the_next_message(
+    message: object, data: st.DataObject
+) -> None:
     frame = bytearray(encode(message))
     if len(frame) > 8:
         frame[data.draw(st.integers(8, len(frame) - 1))] = data.draw(st.integers(0, 255))
@@ -235,17 +239,17 @@
 
 
 @given(st.lists(st.binary(max_size=60), max_size=8))
-def test_noise_is_frames_or_a_wire_error(noise: list[bytes]) -> None:
+def test_random_bytes_are_read_as_frames_or_raise_a_wire_error(random_bytes: list[bytes]) -> None:
     reader = FrameReader()
     try:
-        for data in noise:
+        for data in random_bytes:
             reader.feed(data)
     except codec.WireError:
         with pytest.raises(codec.WireError):
             reader.feed(b"")
 
 
-# ---- two versions of a program
+# ---- programs of two versions
 
 
 @dataclass(frozen=True, slots=True)
@@ -284,8 +288,8 @@
 ]
 
 
-def program(folder: Path, message_type: type, schemas: list[list[dict]]) -> Registry:
-    """The registry of a program that knows so many versions of the one message."""
+def make_registry(folder: Path, message_type: type, schemas: list[list[dict]]) -> Registry:
+    """Return the registry of a program that knows these versions of a single message."""
     folder.mkdir()
     kind = MessageKind(77, message_type, len(schemas))
     for version, schema_fields in enumerate(schemas, 1):
@@ -296,37 +300,35 @@
 
 @pytest.fixture
 def old(tmp_path: Path) -> Registry:
-    return program(tmp_path / "old", OldNotice, [OLD_FIELDS])
+    return make_registry(tmp_path / "old", OldNotice, [OLD_FIELDS])
 
 
 @pytest.fixture
 def new(tmp_path: Path) -> Registry:
-    return program(tmp_path / "new", NewNotice, [OLD_FIELDS, NEW_FIELDS])
+    return make_registry(tmp_path / "new", NewNotice, [OLD_FIELDS, NEW_FIELDS])
 
 
-def test_a_new_reader_takes_an_old_body_and_fills_in_what_it_lacks(old: Registry, new: Registry) -> None:
+def test_a_new_reader_fills_in_the_defaults_of_an_old_body(old: Registry, new: Registry) -> None:
     parts = (Part("a", 1), Part("b", 2))
     reader = FrameReader(new)
     frame = old.encode(OldNotice("x", parts))
     assert reader.feed(frame + frame) == [NewNotice("x", parts, 5, ())] * 2 and reader.skipped == 0
 
 
-def test_an_old_reader_takes_a_new_body_and_leaves_what_it_does_not_know(
-    old: Registry, new: Registry
-) -> None:
+def test_an_old_reader_ignores_unknown_fields_of_a_new_body(old: Registry, new: Registry) -> None:
     parts = (Part("a", 1), Part("b", 2))
     reader = FrameReader(old)
     frame = new.encode(NewNotice("x", parts, 9, (Part("c", 3),)))
     assert reader.feed(frame + frame) == [OldNotice("x", parts)] * 2 and reader.skipped == 0
 
 
-def test_an_old_body_with_bytes_left_over_is_spoilt_for_a_new_reader(old: Registry, new: Registry) -> None:
+def test_a_new_reader_skips_an_old_body_with_additional_bytes(old: Registry, new: Registry) -> None:
     body = old.encode(OldNotice("x", ()))[8:] + b"\0"
     reader = FrameReader(new)
-    assert reader.feed(framed(77, 1, body)) == [] and reader.skipped == 1
+    assert reader.feed(make_frame(77, 1, body)) == [] and reader.skipped == 1
 
 
-def test_no_schema_is_parsed_and_no_avro_imported_before_the_first_message() -> None:
-    probe = "import sys, iristrack.wire.codec; print('fastavro' in sys.modules)"
-    told = subprocess.run([sys.executable, "-c", probe], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == "False"
+def test_fastavro_is_not_imported_before_the_first_message() -> None:
+    script = "import sys, iristrack.wire.codec; print('fastavro' in sys.modules)"
+    result = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "False"
