--- a/iristrack/wire/messages.py
+++ b/iristrack/wire/messages.py
@@ -133,7 +133,7 @@
     count: int
     known: tuple[Version, ...] = ()  # of all topics, or of those that have just changed
     in_quorum: bool = True  # can a core member reach a quorum of the member set? True from other senders
-    named: tuple[NamedAge, ...] = ()  # by sidecars, if a core member lost these revisions
+    named: tuple[NamedAge, ...] = ()  # revisions of weights; sent by sidecars if a core member lost them
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -147,7 +147,7 @@
     assert received == [sent]
 
 
-def test_an_oversized_frame_is_rejected_by_writer_and_reader() -> None:
+def test_an_oversized_frame_is_not_written_and_is_rejected_by_its_length() -> None:
     with pytest.raises(FrameTooLarge):
         encode(messages.Update("t", 1, bytes(MAX_FRAME_BYTES)))
     reader = FrameReader()
@@ -239,10 +239,10 @@
 
 
 @given(st.lists(st.binary(max_size=60), max_size=8))
-def test_random_bytes_are_read_as_frames_or_raise_a_wire_error(random_bytes: list[bytes]) -> None:
+def test_random_bytes_are_read_as_frames_or_raise_a_wire_error(chunks: list[bytes]) -> None:
     reader = FrameReader()
     try:
-        for data in random_bytes:
+        for data in chunks:
             reader.feed(data)
     except codec.WireError:
         with pytest.raises(codec.WireError):
@@ -328,7 +328,7 @@
     assert reader.feed(make_frame(77, 1, body)) == [] and reader.skipped == 1
 
 
-def test_fastavro_is_not_imported_before_the_first_message() -> None:
+def test_no_schema_is_parsed_and_fastavro_not_imported_before_the_first_message() -> None:
     script = "import sys, iristrack.wire.codec; print('fastavro' in sys.modules)"
     result = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True)
     assert result.stdout.strip() == "False"
