--- a/.ci/checks.py
+++ b/.ci/checks.py
@@ -1,9 +1,9 @@
-"""Checks of the repository itself, beside lint and tests: what may know what, and the sizes that are agreed.
+"""Check the import rules and the size limits of the repository, in addition to lint and tests.
 
-- Floors: a package imports only what stands below it (DEVELOPERS.md names the floors); deciders read no
-  clock, socket, file or global random source.
-- The module: the files under `policy` of deploy/balancer.toml hold 740 non-blank lines at most.
-- The core: what `serve` imports comes from the standard library, greenlet and loguru alone.
+- Layers: a module imports only from its own layer or a lower one (DEVELOPERS.md describes the layers). Deciders,
+  which are the packages without I/O, read no clock, socket, file or global random source.
+- Policy: the files under `policy` in deploy/balancer.toml have at most 740 non-blank lines.
+- Dependencies: `serve` imports only the standard library, greenlet and loguru.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-MOST_POLICY_LINES = 740
-FLOORS = {  # the longest name that fits counts
-    "iristrack": 2,  # its face: the module by name
+MAX_POLICY_LINES = 740
+LAYERS = {  # a module belongs to its own entry or to that of its nearest parent package
+    "iristrack": 2,  # loads `Balancer` by name
     "iristrack.interface": 1,
     "iristrack.config": 1,
     "iristrack.http1": 1,
@@ -50,7 +50,7 @@
     "iristrack.cli": 5,
     "iristrack.__main__": 5,
 }
-NO_IO = (
+DECIDERS = (
     "iristrack.admission",
     "iristrack.balance",
     "iristrack.configuration",
@@ -66,7 +66,7 @@
     "iristrack.relay",
     "iristrack.zones",
 )
-FORBIDDEN = {"socket", "select", "time", "os", "pathlib", "threading", "subprocess", "io", "datetime"}
+IO_MODULES = {"socket", "select", "time", "os", "pathlib", "threading", "subprocess", "io", "datetime"}
 SERVE_PROBE = """
 import sys
 import iristrack.net.front, iristrack.net.sidecar, iristrack.__main__
@@ -76,65 +76,73 @@
 
 
 def module_name(path: Path) -> str:
-    """The dotted name of a source file."""
+    """Return the dotted name of a source file."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
-def floor(name: str) -> int:
-    """The floor of a module."""
-    while name not in FLOORS:
+def layer(name: str) -> int:
+    """Return the layer of a module."""
+    while name not in LAYERS:
         name = name.rpartition(".")[0]
-    return FLOORS[name]
+    return LAYERS[name]
 
 
-def imported(tree: ast.Module) -> list[tuple[int, str]]:
-    """Line and name of everything that is imported, also within functions."""
-    found = []
+def imports_of(tree: ast.Module) -> list[tuple[int, str]]:
+    """Return the line and the name of each import, including those inside functions."""
+    imports = []
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
-            found += [(node.lineno, alias.name) for alias in node.names]
+            imports += [(node.lineno, alias.name) for alias in node.names]
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found += [(node.lineno, f"{node.module}.{alias.name}") for alias in node.names]
-    return found
+            imports += [(node.lineno, f"{node.module}.{alias.name}") for alias in node.names]
+    return imports
 
 
-def check_floors(faults: list[str]) -> None:
-    """No arrow runs back up, and deciders do no I/O."""
+def check_layers(violations: list[str]) -> None:
+    """Report imports from a higher layer, and imports of I/O modules by deciders."""
     sources = sorted((ROOT / "iristrack").rglob("*.py"))
     for path in sources:
         name = module_name(path)
-        for line, target in imported(ast.parse(path.read_text())):
-            at = f"{path.relative_to(ROOT)}:{line}"
+        for line, target in imports_of(ast.parse(path.read_text())):
+            location = f"{path.relative_to(ROOT)}:{line}"
             if target.split(".")[0] == "iristrack" and target != "iristrack.__version__":
-                if floor(target) > floor(name):
-                    faults.append(f"{at}: floor {floor(name)} imports {target} of floor {floor(target)}")
-            elif name.startswith(NO_IO) and target.split(".")[0] in FORBIDDEN:
-                faults.append(f"{at}: a decider imports {target}; time and randomness are arguments")
-
-
-def lines(paths: list[Path]) -> int:
-    """Lines that are not blank."""
+                if layer(target) > layer(name):
+                    violations.append(
+                        f"{location}: layer {layer(name)} imports {target} of layer {layer(target)}"
+                    )
+            elif name.startswith(DECIDERS) and target.split(".")[0] in IO_MODULES:
+                violations.append(
+                    f"{location}: a decider imports {target}; pass time and randomness as arguments"
+                )
+
+
+def count_lines(paths: list[Path]) -> int:
+    """Return the number of non-blank lines in these files."""
     return sum(1 for path in paths for line in path.read_text().splitlines() if line.strip())
 
 
 def main() -> int:
-    """Print each fault on a line; 1 if there are any."""
-    faults: list[str] = []
-    check_floors(faults)
-    policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
-    held = lines([ROOT / name for name in policy])
-    if held > MOST_POLICY_LINES:
-        faults.append(f"the policy files hold {held} lines, {MOST_POLICY_LINES} at most")
-    code = lines(sorted((ROOT / "iristrack").rglob("*.py")))
-    tests = lines(sorted((ROOT / "tests").rglob("*.py")))
-    probe = subprocess.run([sys.executable, "-c", SERVE_PROBE], cwd=ROOT, capture_output=True, text=True)
-    if probe.returncode or probe.stdout.strip():
-        faults.append(f"serve loads more than its core: {probe.stdout.strip() or probe.stderr.strip()}")
-    for fault in faults:
-        print(fault, file=sys.stderr)
-    print(f"policy {held} lines, code {code}, tests {tests}; {len(faults)} faults")
-    return 1 if faults else 0
+    """Print one line per violation; return the exit code, 1 if there are any."""
+    violations: list[str] = []
+    check_layers(violations)
+    policy_files = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
+    policy_lines = count_lines([ROOT / name for name in policy_files])
+    if policy_lines > MAX_POLICY_LINES:
+        violations.append(f"the policy files have {policy_lines} lines; the maximum is {MAX_POLICY_LINES}")
+    code_lines = count_lines(sorted((ROOT / "iristrack").rglob("*.py")))
+    test_lines = count_lines(sorted((ROOT / "tests").rglob("*.py")))
+    probe_result = subprocess.run(
+        [sys.executable, "-c", SERVE_PROBE], cwd=ROOT, capture_output=True, text=True
+    )
+    if probe_result.returncode or probe_result.stdout.strip():
+        violations.append(
+            f"import check of `serve` failed: {probe_result.stdout.strip() or probe_result.stderr.strip()}"
+        )
+    for violation in violations:
+        print(violation, file=sys.stderr)
+    print(f"policy {policy_lines} lines, code {code_lines}, tests {test_lines}; {len(violations)} violations")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,10 +1,14 @@
-"""A pytest plugin: tests listed in KNOWN-RED.txt may fail.
+"""A pytest plugin that lets the tests listed in KNOWN-RED.txt fail.
 
-Each line that is not empty and begins with no `#` holds a test's id as pytest prints it, the cause and the issue, set
-apart by ` | `. Three lines at most. A listed test that fails is printed and fails nothing; one that passes is told, so
-that its line can go; one that was never collected in a whole run is told as well. Every other failure counts.
+Empty lines and lines that begin with `#` are ignored. Each other line has three fields, separated by ` | `: the test's
+id as pytest prints it, the cause and the issue. At most three tests may be listed.
 
-    python -m pytest -p known_red        with this folder on PYTHONPATH
+The summary of a run prints the outcome of each listed test. A listed test that fails does not fail the run. One that
+passed or did not run is printed with a hint that its line may be out of date. All other failures fail the run.
+
+Run it with this folder on PYTHONPATH:
+
+    python -m pytest -p known_red
 """
 
 from __future__ import annotations
@@ -15,13 +19,13 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LISTED_TESTS = 3
 SEPARATOR = " | "
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One line of the file."""
+    """One entry of the file."""
 
     test: str
     cause: str
@@ -29,42 +33,42 @@
 
 
 def read_known_red(text: str) -> list[KnownRed]:
-    """The lines of the file; raises `ValueError` with the number of a line that cannot be read."""
-    found = []
+    """Return the entries; raise `ValueError` for a malformed line, with its number, or for too many entries."""
+    entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        parts = [part.strip() for part in line.split(SEPARATOR)]
-        if len(parts) != len(KnownRed.__annotations__) or not all(parts):
+        fields = [part.strip() for part in line.split(SEPARATOR)]
+        if len(fields) != len(KnownRed.__annotations__) or not all(fields):
             raise ValueError(
-                f"{FILE_NAME}:{number}: a line holds a test, its cause and its issue, with ' | ' between"
+                f"{FILE_NAME}:{number}: expected a test, its cause and its issue, separated by ' | '"
             )
-        found.append(KnownRed(*parts))
-    if len(found) > MOST_LINES:
-        raise ValueError(f"{FILE_NAME}: {len(found)} tests are listed, {MOST_LINES} at most")
-    return found
+        entries.append(KnownRed(*fields))
+    if len(entries) > MAX_LISTED_TESTS:
+        raise ValueError(f"{FILE_NAME}: {len(entries)} tests are listed; the maximum is {MAX_LISTED_TESTS}")
+    return entries
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file; one that cannot be read ends the run."""
+    """Read the file; abort the run with a usage error if it is invalid."""
     path = Path(config.rootpath) / FILE_NAME
     try:
-        listed = read_known_red(path.read_text()) if path.exists() else []
-    except ValueError as fault:
-        raise pytest.UsageError(str(fault)) from None
-    config.known_red = {row.test: row for row in listed}
+        entries = read_known_red(path.read_text()) if path.exists() else []
+    except ValueError as error:
+        raise pytest.UsageError(str(error)) from None
+    config.known_red = {entry.test: entry for entry in entries}
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Let listed tests fail."""
+    """Mark the listed tests as expected failures that may also pass."""
     for item in items:
-        row = config.known_red.get(item.nodeid)
-        if row is not None:
-            item.add_marker(pytest.mark.xfail(reason=f"{row.cause} ({row.issue})", strict=False))
+        entry = config.known_red.get(item.nodeid)
+        if entry is not None:
+            item.add_marker(pytest.mark.xfail(reason=f"{entry.cause} ({entry.issue})", strict=False))
 
 
 def pytest_runtest_logreport(report: pytest.TestReport) -> None:
-    """Note how listed tests ended; `pytest_terminal_summary` tells it."""
+    """Record the outcome of a listed test for `pytest_terminal_summary`."""
     if getattr(report, "wasxfail", None) is not None and report.when == "call":
         _outcomes[report.nodeid] = "passed" if report.passed else "failed"
 
@@ -73,14 +77,14 @@
 
 
 def pytest_terminal_summary(terminalreporter, config: pytest.Config) -> None:
-    """Print a line for each listed test."""
-    for test, row in config.known_red.items():
+    """Print one line per listed test with its outcome."""
+    for test, entry in config.known_red.items():
         outcome = _outcomes.get(test, "not run")
         hint = (
             ""
             if outcome == "failed"
-            else ": take its line out"
+            else ": remove its line"
             if outcome == "passed"
-            else ": is it still there?"
+            else ": check that the test still exists"
         )
-        terminalreporter.write_line(f"known red, {outcome}{hint}: {test} | {row.cause} | {row.issue}")
+        terminalreporter.write_line(f"known red, {outcome}{hint}: {test} | {entry.cause} | {entry.issue}")
