--- a/tests/ci/test_build.py
+++ b/tests/ci/test_build.py
@@ -1,6 +1,7 @@
-"""The build of the system's deploy file against a registry in trouble.
+"""Tests of the build in the system's deploy file, with a package registry that fails.
 
-The incident FAULT: a build made one call of pip, whose tries ended within seconds, and no deployment started.
+Guards against the incident FAULT: a build ran pip only once, pip's retries ended within seconds, and no deployment
+could start.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 REQUIREMENTS = ROOT / "requirements-system.txt"
 BUILD = tomllib.loads((ROOT / "deploy/system.toml").read_text())["build"]
 PROGRAMS = ("dataplane", "controlplane")
-PIP_TRIES = 6  # of one address, in one call of pip
+PIP_ATTEMPTS = 6  # requests that one run of pip sends to one URL before it gives up
 
 
 def wheel(name: str, version: str) -> bytes:
-    """A package of one empty module."""
+    """Return a wheel that contains one empty module."""
     info = f"{name}-{version}.dist-info"
     files = {
         f"{name}.py": "",
@@ -37,20 +38,20 @@
         f"{info}/WHEEL": "Wheel-Version: 1.0\nGenerator: test\nRoot-Is-Purelib: true\nTag: py3-none-any\n",
     }
     record = "".join(f"{path},,\n" for path in [*files, f"{info}/RECORD"])
-    held = BytesIO()
-    with zipfile.ZipFile(held, "w") as archive:
+    buffer = BytesIO()
+    with zipfile.ZipFile(buffer, "w") as archive:
         for path, text in (files | {f"{info}/RECORD": record}).items():
             archive.writestr(path, text)
-    return held.getvalue()
+    return buffer.getvalue()
 
 
 class Registry(http.server.ThreadingHTTPServer):
-    """A stand-in: the packages of the requirements, with errors or cut answers at first."""
+    """A fake registry of the required packages; its first responses are errors or truncated."""
 
     daemon_threads = True
 
     def __init__(self, errors: int = 0, cuts: int = 0) -> None:
-        super().__init__(("127.0.0.1", 0), Call)
+        super().__init__(("127.0.0.1", 0), RegistryHandler)
         self.errors_left = errors
         self.cuts_left = cuts
         self.lock = threading.Lock()
@@ -62,19 +63,19 @@
     def index(self) -> str:
         return f"http://127.0.0.1:{self.server_port}/simple"
 
-    def takes(self, left: str) -> bool:
-        """Is this one of the calls that go wrong?"""
+    def should_fail(self, counter: str) -> bool:
+        """Return whether this request should fail, and decrement the counter of that failure."""
         with self.lock:
-            number = getattr(self, left)
-            setattr(self, left, max(0, number - 1))
-            return number > 0
+            remaining = getattr(self, counter)
+            setattr(self, counter, max(0, remaining - 1))
+            return remaining > 0
 
 
-class Call(http.server.BaseHTTPRequestHandler):
+class RegistryHandler(http.server.BaseHTTPRequestHandler):
     server: Registry
 
     def do_GET(self) -> None:
-        if self.server.takes("errors_left"):
+        if self.server.should_fail("errors_left"):
             self.send_error(503)
             return
         name = self.path.strip("/").split("/")[-1]
@@ -84,19 +85,19 @@
             links = [f'<a href="/w/{w}#sha256={digest(self.server.wheels[w])}">{w}</a>' for w in rows]
             self._send("text/html", "".join(links).encode(), 0)
             return
-        self._send("application/octet-stream", body, 40 if self.server.takes("cuts_left") else 0)
+        self._send("application/octet-stream", body, 40 if self.server.should_fail("cuts_left") else 0)
 
-    def _send(self, kind: str, body: bytes, missing: int) -> None:
+    def _send(self, content_type: str, body: bytes, missing_bytes: int) -> None:
         self.send_response(200)
-        self.send_header("Content-Type", kind)
+        self.send_header("Content-Type", content_type)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
-        self.wfile.write(body[: len(body) - missing])
-        if missing:
+        self.wfile.write(body[: len(body) - missing_bytes])
+        if missing_bytes:
             self.close_connection = True
 
     def log_message(self, *_: object) -> None:
-        """Say nothing."""
+        """Suppress request logs."""
 
 
 def digest(data: bytes) -> str:
@@ -105,7 +106,7 @@
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Path:
-    """What a build reads of a clean checkout; the programs import nothing but the libraries."""
+    """Return a folder with the files that a build reads; its programs import only the libraries."""
     (tmp_path / "deploy").mkdir()
     for script in (ROOT / "deploy").glob("*.py"):
         shutil.copy(script, tmp_path / "deploy")
@@ -121,8 +122,8 @@
 def serve() -> Iterator[type]:
     running: list[Registry] = []
 
-    def start(**troubles: int) -> Registry:
-        registry = Registry(**troubles)
+    def start(**failures: int) -> Registry:
+        registry = Registry(**failures)
         running.append(registry)
         threading.Thread(target=registry.serve_forever, daemon=True).start()
         return registry
@@ -146,30 +147,28 @@
 
 
 @pytest.mark.parametrize(
-    "troubles", [{}, {"errors": PIP_TRIES + 2}, {"cuts": 2}], ids=["none", "errors", "cut off"]
+    "failures", [{}, {"errors": PIP_ATTEMPTS + 2}, {"cuts": 2}], ids=["none", "errors", "cut off"]
 )
-def test_a_registry_in_trouble_for_a_while_does_not_fail_the_build(checkout: Path, serve, troubles) -> None:
-    done = build(checkout, serve(**troubles))
-    assert done.returncode == 0, done.stderr
+def test_build_survives_temporary_registry_failures(checkout: Path, serve, failures) -> None:
+    result = build(checkout, serve(**failures))
+    assert result.returncode == 0, result.stderr
     installed = {path.name for path in (checkout / "target/deps").iterdir()}
     assert {"cerberus.py", "crc32c.py", "fastavro.py", "greenlet.py"} <= installed
 
 
-def test_a_second_build_asks_nobody(checkout: Path, serve) -> None:
+def test_second_build_does_not_contact_the_registry(checkout: Path, serve) -> None:
     assert build(checkout, serve()).returncode == 0
     assert build(checkout, None).returncode == 0
 
 
-@pytest.mark.parametrize("what", ["a file", "the folder", "another Python"])
-def test_libraries_that_are_not_whole_or_of_another_python_are_made_anew(
-    checkout: Path, serve, what: str
-) -> None:
+@pytest.mark.parametrize("damage", ["a file", "the folder", "another Python"])
+def test_incomplete_or_incompatible_libraries_are_reinstalled(checkout: Path, serve, damage: str) -> None:
     registry = serve()
     assert build(checkout, registry).returncode == 0
     deps = checkout / "target/deps"
-    if what == "a file":
+    if damage == "a file":
         (deps / "greenlet.py").unlink()
-    elif what == "the folder":
+    elif damage == "the folder":
         shutil.rmtree(deps)
     else:
         (checkout / "target/deps.fingerprint").write_text("of another Python")
@@ -178,7 +177,7 @@
     assert (deps / "greenlet.py").read_text() == ""
 
 
-def test_nothing_half_done_is_left_behind(checkout: Path, serve) -> None:
+def test_failed_attempts_leave_no_files_behind(checkout: Path, serve) -> None:
     assert build(checkout, serve(cuts=1)).returncode == 0
-    left = {path.name for path in (checkout / "target").iterdir()}
-    assert left == {"deps", "deps.fingerprint", "build.lock"}
+    remaining = {path.name for path in (checkout / "target").iterdir()}
+    assert remaining == {"deps", "deps.fingerprint", "build.lock"}
--- a/tests/ci/test_packaging.py
+++ b/tests/ci/test_packaging.py
@@ -1,4 +1,4 @@
-"""What an installed iristrack holds, and what the deploy files promise."""
+"""Tests of the package list in pyproject.toml and of the system's deploy file."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def test_every_package_is_in_the_wheel() -> None:
+def test_wheel_includes_every_package() -> None:
     settings = tomllib.loads((ROOT / "pyproject.toml").read_text())
-    named = settings["tool"]["setuptools"]["packages"]
-    there = {
+    listed = settings["tool"]["setuptools"]["packages"]
+    existing = {
         ".".join(path.parent.relative_to(ROOT).parts) for path in (ROOT / "iristrack").rglob("__init__.py")
     }
-    assert sorted(named) == sorted(there)
+    assert sorted(listed) == sorted(existing)
 
 
-def test_the_system_names_its_packages_and_roles() -> None:
+def test_system_deploy_file_lists_packages_and_roles() -> None:
     deploy = tomllib.loads((ROOT / "deploy/system.toml").read_text())
     assert {"python3", "python3-pip"} <= set(deploy["packages"])
     assert set(deploy["roles"]) == {"dataplane", "controlplane"}
