--- a/iristrack/lab/fleet.py
+++ b/iristrack/lab/fleet.py
@@ -1,10 +1,11 @@
-"""What a whole fleet of sidecars did, second by second, counted from their own logs.
+"""Count the activity of a fleet of sidecars per second, from the logs of the sidecars.
 
-This file owns the reading of the daemon's DEBUG and INFO lines and the counts by second. It starts nothing and asks
-nobody: only lines that were written. A line that it does not know is passed over; it keeps one row a second and one
-open attempt a call, so that its memory is bounded by `MOST_SECONDS` and `MOST_CALLS`.
+This module parses the DEBUG and INFO lines of the daemon. It reads only log files: it starts no process and sends no
+query. Unknown lines are skipped and counted. It keeps one row per second and the last outcome of each open call, so
+`MAX_SECONDS` and `MAX_TRACKED_CALLS` bound its memory.
 
-A log line begins with a clock, perhaps behind a stamp, in brackets or not, of whoever ran the sidecars:
+A log line begins with the time of day. A time stamp of the program that ran the sidecars, with or without brackets,
+may precede it:
 
     [12.04] 23:32:27.121 DEBUG call 9b1f attempt 0 at s-39: OK after 12 ms, final
 """
@@ -18,110 +19,112 @@
 from pathlib import Path
 
 DAY_S = 86_400
-MOST_SECONDS = 7_200  # two hours; what lies behind is not counted
-MOST_CALLS = 1_000_000  # whose first attempt is remembered
-FEW_MS = 50  # a refusal this soon after a call's arrival cannot be told from one at once
+MAX_SECONDS = 7_200  # two hours; later lines are not counted
+MAX_TRACKED_CALLS = 1_000_000  # calls whose last outcome is kept
+IMMEDIATE_REFUSAL_MS = 50  # a refusal this soon after arrival cannot be distinguished from an immediate one
 
 _LINE = re.compile(r"^(?:\[?([\d.]+)\]? )?(\d\d):(\d\d):(\d\d)\.(\d+) (\w+) (.*)$")
 _SENT = re.compile(r"^call (\S+) attempt (\d+) to (\S+) within (-?\d+) ms$")
 _ENDED = re.compile(r"^call (\S+) attempt (\d+) at (\S+): (\w+) after (\d+) ms")
 _ANSWERED = re.compile(r"^call (\S+) (\S+) answered (\w+) after (\d+) attempts, (-?\d+) ms before its end$")
 _EJECTED = re.compile(r"^server (\S+) ejected: (.*)$")
-_CAUSE = re.compile(r" of \S+$")  # a class's name behind a cause of ejection
+_CLASS_SUFFIX = re.compile(r" of \S+$")  # the name of the request class after the cause of an ejection
 
 
 @dataclass(slots=True)
 class Second:
-    """One second of the fleet."""
+    """The counts of one second over all sidecars."""
 
     answers: Counter[str] = field(default_factory=Counter)  # SERVED, REFUSED, FAILED
-    refused: Counter[str] = field(default_factory=Counter)  # by cause, see `cause`
-    sent: int = 0  # attempts
-    again: int = 0  # of them, not a call's first
+    refused: Counter[str] = field(default_factory=Counter)  # by cause, see `refusal_cause`
+    sent: int = 0  # attempts sent
+    again: int = 0  # retries among the sent attempts
     ended: Counter[str] = field(default_factory=Counter)  # by outcome
     ejected: Counter[str] = field(default_factory=Counter)  # by cause
-    servers: set[str] = field(default_factory=set)  # that got a attempt
-    sidecars: set[int] = field(default_factory=set)  # that sent or answered
+    servers: set[str] = field(default_factory=set)  # servers that an attempt was sent to
+    sidecars: set[int] = field(default_factory=set)  # sidecars with at least one counted line
 
 
-def cause(tasks: int, last: str | None) -> str:
-    """Why a call got a refusal, as far as its lines tell.
+def refusal_cause(attempts: int, last_outcome: str | None) -> str:
+    """Return the cause of a refused call, as far as the log shows it.
 
-    `tasks` is how many attempts it had, `last` the outcome of the last one.
+    `attempts` is the number of its attempts, `last_outcome` the outcome of the last one.
     """
-    if not tasks:
+    if not attempts:
         return "never sent"
-    return f"after {last or 'an unknown end'}"
+    return f"after {last_outcome or 'an unknown end'}"
 
 
 @dataclass(slots=True)
 class Fleet:
-    """All logs of one play: rows by second from the first line on."""
+    """The logs of one run: one row per second, beginning with the first line."""
 
     rows: list[Second] = field(default_factory=list)
-    begin: float | None = None
+    start_s: float | None = None
     passed_over: int = 0
     left_ms: list[int] = field(
         default_factory=list
-    )  # of their time that calls never sent had left when refused
-    _last: dict[str, str] = field(default_factory=dict)  # a call's last outcome
-
-    def row(self, at: float) -> Second | None:
-        """The row of a moment (s); None where it lies outside what is kept."""
-        if self.begin is None:
-            self.begin = at
-        second = int(at - self.begin) % DAY_S  # midnight may lie between
-        if second >= MOST_SECONDS:
+    )  # time left until the deadline of calls refused without an attempt
+    _last_outcome: dict[str, str] = field(default_factory=dict)  # last failed outcome by call id
+
+    def row(self, at_s: float) -> Second | None:
+        """Return the row of a time in seconds, or None if it is `MAX_SECONDS` or more after the start."""
+        if self.start_s is None:
+            self.start_s = at_s
+        second = int(at_s - self.start_s) % DAY_S  # the run may cross midnight
+        if second >= MAX_SECONDS:
             return None
         while len(self.rows) <= second:
             self.rows.append(Second())
         return self.rows[second]
 
     def read(self, lines: Iterable[str], sidecar: int) -> None:
-        """Count one sidecar's lines, oldest first."""
+        """Count the lines of one sidecar, oldest first."""
         for line in lines:
-            found = _LINE.match(line.rstrip("\n"))
-            if found is None:
+            match = _LINE.match(line.rstrip("\n"))
+            if match is None:
                 self.passed_over += 1
                 continue
-            stamp, hours, minutes, seconds, part, _, text = found.groups()
-            clock = int(hours) * 3600 + int(minutes) * 60 + int(seconds) + float(f"0.{part}")
-            row = self.row(float(stamp) if stamp else clock)
+            stamp, hours, minutes, seconds, fraction, _, text = match.groups()
+            clock_s = int(hours) * 3600 + int(minutes) * 60 + int(seconds) + float(f"0.{fraction}")
+            row = self.row(float(stamp) if stamp else clock_s)
             if row is not None and not self._count(row, text, sidecar):
                 self.passed_over += 1
 
     def _count(self, row: Second, text: str, sidecar: int) -> bool:
-        if found := _SENT.match(text):
+        if match := _SENT.match(text):
             row.sent += 1
-            row.again += found[2] != "0"
-            row.servers.add(found[3])
-        elif found := _ENDED.match(text):
-            row.ended[found[4]] += 1
-            if found[4] != "OK" and (len(self._last) < MOST_CALLS or found[1] in self._last):
-                self._last[found[1]] = found[4]
-        elif found := _ANSWERED.match(text):
-            row.answers[found[3]] += 1
-            last = self._last.pop(found[1], None)
-            if found[3] == "REFUSED":
-                row.refused[cause(int(found[4]), last)] += 1
-                if found[4] == "0":
-                    self.left_ms.append(int(found[5]))
-        elif found := _EJECTED.match(text):
-            row.ejected[_CAUSE.sub("", found[2])] += 1
+            row.again += match[2] != "0"
+            row.servers.add(match[3])
+        elif match := _ENDED.match(text):
+            row.ended[match[4]] += 1
+            if match[4] != "OK" and (
+                len(self._last_outcome) < MAX_TRACKED_CALLS or match[1] in self._last_outcome
+            ):
+                self._last_outcome[match[1]] = match[4]
+        elif match := _ANSWERED.match(text):
+            row.answers[match[3]] += 1
+            last_outcome = self._last_outcome.pop(match[1], None)
+            if match[3] == "REFUSED":
+                row.refused[refusal_cause(int(match[4]), last_outcome)] += 1
+                if match[4] == "0":
+                    self.left_ms.append(int(match[5]))
+        elif match := _EJECTED.match(text):
+            row.ejected[_CLASS_SUFFIX.sub("", match[2])] += 1
         else:
             return False
         row.sidecars.add(sidecar)
         return True
 
     def total(self, name: str) -> Counter[str]:
-        """A counter of the rows, added up over the day."""
+        """Return the sum of one counter over all rows."""
         total: Counter[str] = Counter()
         for row in self.rows:
             total += getattr(row, name)
         return total
 
     def quartiles(self) -> tuple[int, int, int] | None:
-        """Of the time (ms) that calls refused without a attempt had left; None where there were none."""
+        """Return the quartiles of `left_ms`, or None if no call was refused without an attempt."""
         if not self.left_ms:
             return None
         left = sorted(self.left_ms)
@@ -129,26 +132,27 @@
 
 
 def load(folder: Path) -> Fleet:
-    """Read all `*.log` files of a folder; raises `ValueError` in one line where there are none or no line is known.
+    """Read all `*.log` files of a folder.
 
-    Lines without a stamp of the whole play's clock count from the earliest log's first line on.
+    Raises `ValueError` with a text of one line if there are no logs or no line is known. Seconds count from the
+    earliest first line of all logs, by its time stamp or else by its time of day.
     """
     files = sorted(folder.glob("*.log")) if folder.is_dir() else []
     if not files:
         raise ValueError(f"{folder} holds no logs (*.log)")
     fleet = Fleet()
-    firsts = []
+    first_times_s = []
     for file in files:
         with file.open(encoding="utf-8", errors="replace") as lines:
-            found = next((m for m in map(_LINE.match, lines) if m), None)
-        if found is not None:
-            firsts.append(
-                float(found[1]) if found[1] else int(found[2]) * 3600 + int(found[3]) * 60 + int(found[4])
+            match = next((m for m in map(_LINE.match, lines) if m), None)
+        if match is not None:
+            first_times_s.append(
+                float(match[1]) if match[1] else int(match[2]) * 3600 + int(match[3]) * 60 + int(match[4])
             )
-    fleet.begin = float(int(min(firsts))) if firsts else None
-    for number, file in enumerate(files):
+    fleet.start_s = float(int(min(first_times_s))) if first_times_s else None
+    for sidecar, file in enumerate(files):
         with file.open(encoding="utf-8", errors="replace") as lines:
-            fleet.read(lines, number)
+            fleet.read(lines, sidecar)
     if not any(row.sidecars for row in fleet.rows):
         raise ValueError(f"{folder}: no log has lines by call id: start the sidecars with --log-level DEBUG")
     return fleet
