--- a/iristrack/lab/__init__.py
+++ b/iristrack/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: experiments over the emulator, their tables, statistics and reports. Needs the extra `lab`."""
+"""Experiments with the emulator: their tables, statistics and reports. Requires the extra `lab`."""
--- a/iristrack/lab/charts.py
+++ b/iristrack/lab/charts.py
@@ -1,6 +1,6 @@
-"""Charts of results, as SVG and PNG, in one style.
+"""Draw the results of an experiment as SVG and PNG charts in a common style.
 
-This file owns how results are drawn. It reads rows and details and computes no figure of its own but means.
+This module reads rows and details; apart from means and confidence intervals it computes no figures.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     "axes.spines.right": False, "font.size": 9, "legend.frameon": False, "svg.hashsalt": "iristrack",
     "svg.fonttype": "none",
 }  # fmt: skip
-MOST_SERVERS = 60  # bars in one chart
+MAX_SERVERS = 60  # in one chart
 
 Rows = list[dict[str, str]]
 Details = dict[str, dict[str, Any]]
@@ -44,20 +44,24 @@
     return list(dict.fromkeys(row["balancer"] for row in rows))
 
 
-def _of(rows: Rows, balancer: str) -> Rows:
+def _rows_of_balancer(rows: Rows, balancer: str) -> Rows:
     return [row for row in rows if row["balancer"] == balancer]
 
 
 def timeline(rows: Rows, details: Details, folder: Path) -> str:
-    """Goodput and held requests by second, the mean over replications, troubles shaded (those of the first run)."""
+    """Draw goodput and held requests by second (mean over replications), with the faults of the first run shaded."""
     with plt.rc_context(STYLE):
         figure, axes = plt.subplots(2, 1, sharex=True, figsize=(8.0, 5.4))
         for balancer in _balancers(rows):
-            found = [details[row["run"]]["seconds"] for row in _of(rows, balancer) if row["run"] in details]
+            series = [
+                details[row["run"]]["seconds"]
+                for row in _rows_of_balancer(rows, balancer)
+                if row["run"] in details
+            ]
             for axis, name in zip(axes, ("goodput", "held_mean"), strict=True):
-                length = min((len(x[name]) for x in found), default=0)
+                length = min((len(x[name]) for x in series), default=0)
                 if length:
-                    mean = np.mean([x[name][:length] for x in found], axis=0)
+                    mean = np.mean([x[name][:length] for x in series], axis=0)
                     axis.plot(mean, label=balancer, color=COLOURS.get(balancer), lw=1.3)
         first = next(iter(details.values()), None)
         for kind, begin, end, _ in first["spans"] if first else []:
@@ -75,20 +79,20 @@
 
 
 def percentiles(rows: Rows, details: Details, folder: Path) -> str:
-    """Latency over the whole percentile curve, the mean over replications."""
+    """Draw latency over the percentile curve, as the mean over replications."""
     with plt.rc_context(STYLE):
         figure, axis = plt.subplots()
         for balancer in _balancers(rows):
             curves = [
                 details[r["run"]]["curve"]
-                for r in _of(rows, balancer)
+                for r in _rows_of_balancer(rows, balancer)
                 if details.get(r["run"], {}).get("curve")
             ]
             if not curves:
                 continue
-            at = [p for p, _ in curves[0]]
+            percentile_points = [p for p, _ in curves[0]]
             mean = np.mean([[ms for _, ms in curve] for curve in curves], axis=0)
-            x = [1 / max(1e-5, 1 - p / 100) for p in at]
+            x = [1 / max(1e-5, 1 - p / 100) for p in percentile_points]
             axis.plot(x[:-1], mean[:-1], label=balancer, color=COLOURS.get(balancer), marker=".", lw=1.3)
         axis.set_xscale("log")
         axis.set_xticks([1, 2, 10, 100, 1000, 10000], ["0", "50", "90", "99", "99.9", "99.99"])
@@ -100,13 +104,17 @@
 
 
 def servers(rows: Rows, details: Details, folder: Path) -> str:
-    """How busy each pool server was, in the first replication."""
+    """Draw the utilization of each pool server in the first replication."""
     with plt.rc_context(STYLE):
         figure, axis = plt.subplots()
         for balancer in _balancers(rows):
-            found = [details[r["run"]]["per_server"] for r in _of(rows, balancer) if r["run"] in details]
-            if found:
-                busy = [share for _, share, _ in found[0]][:MOST_SERVERS]
+            series = [
+                details[r["run"]]["per_server"]
+                for r in _rows_of_balancer(rows, balancer)
+                if r["run"] in details
+            ]
+            if series:
+                busy = [share for _, share, _ in series[0]][:MAX_SERVERS]
                 axis.plot(busy, "o-", ms=3, lw=0.7, label=balancer, color=COLOURS.get(balancer))
         axis.set_xlabel("pool server")
         axis.set_ylabel("share of its slots' time in use")
@@ -116,7 +124,7 @@
 
 
 def sweep(rows: Rows, factor: str, figure_name: str, folder: Path) -> str:
-    """A figure over a factor's levels, with confidence intervals."""
+    """Draw a figure over the levels of a factor, with confidence intervals."""
     column = f"factor {factor}"
     levels = list(dict.fromkeys(row[column] for row in rows))
     numeric = all(_is_number(level) for level in levels)
@@ -124,22 +132,24 @@
     with plt.rc_context(STYLE):
         figure, axis = plt.subplots()
         for balancer in _balancers(rows):
-            found = []
+            series = []
             for level in levels:
-                values = [float(r[figure_name]) for r in _of(rows, balancer) if r[column] == level]
-                found.append(interval(values))
+                values = [
+                    float(r[figure_name]) for r in _rows_of_balancer(rows, balancer) if r[column] == level
+                ]
+                series.append(interval(values))
             colour = COLOURS.get(balancer)
-            axis.plot(x, [i.mean for i in found], "o-", ms=3, lw=1.3, label=balancer, color=colour)
+            axis.plot(x, [i.mean for i in series], "o-", ms=3, lw=1.3, label=balancer, color=colour)
             axis.fill_between(
-                x, [i.low for i in found], [i.high for i in found], color=colour, alpha=0.15, lw=0
+                x, [i.low for i in series], [i.high for i in series], color=colour, alpha=0.15, lw=0
             )
         if not numeric:
             axis.set_xticks(x, levels)
         axis.set_xlabel(factor)
         axis.set_ylabel(figure_name)
         axis.legend(fontsize=8)
-        safe = "".join(c if c.isalnum() else "-" for c in f"{factor}-{figure_name}")
-        return _save(figure, folder, f"sweep-{safe}")
+        file_name = "".join(c if c.isalnum() else "-" for c in f"{factor}-{figure_name}")
+        return _save(figure, folder, f"sweep-{file_name}")
 
 
 def _is_number(text: str) -> bool:
@@ -150,8 +160,8 @@
     return True
 
 
-def draw_all(told: dict, rows: Rows, details: Details, folder: Path) -> list[str]:
-    """Every chart of a folder's results; their names."""
+def draw_all(description: dict, rows: Rows, details: Details, folder: Path) -> list[str]:
+    """Draw all charts of a results folder and return their names."""
     if not rows:
         return []
     names = [
@@ -159,7 +169,7 @@
         percentiles(rows, details, folder),
         servers(rows, details, folder),
     ]
-    experiment = told["experiment"]
+    experiment = description["experiment"]
     for factor in experiment["factors"]:
         for figure in experiment["figures"][:2]:
             if figure in rows[0]:
