--- a/tests/lab/test_weights_days.py
+++ b/tests/lab/test_weights_days.py
@@ -1,4 +1,4 @@
-"""Days on which weights are named among troubles: a seed draws the same day, with the sequence that it is for."""
+"""Test days that announce new weights during faults: a seed always gives the same day, with the required sequence."""
 
 from __future__ import annotations
 
@@ -23,35 +23,33 @@
     return drawn
 
 
-def named(drawn: dict) -> list[float]:
+def announcement_times_s(drawn: dict) -> list[float]:
     return [entry["at"] for entry in drawn["plan"] if entry["kind"] == "version_bump"]
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_servers_fall_in_turn_while_three_versions_are_named(seed: int) -> None:
+def test_servers_crash_in_turn_while_three_versions_are_announced(seed: int) -> None:
     drawn = day(seed, "falling_servers")
     assert drawn == day(seed, "falling_servers")
-    falls = [fault for fault in drawn["faults"] if fault["kind"] == "srv_crash"]
-    assert [fault["how"] for fault in falls] == ["domain"] * 3
-    moments = sorted(named(drawn))
-    assert len(moments) == 3
-    back = falls[0]["at"] + falls[0]["for_s"]
+    crashes = [fault for fault in drawn["faults"] if fault["kind"] == "srv_crash"]
+    assert [fault["how"] for fault in crashes] == ["domain"] * 3
+    announcements_s = sorted(announcement_times_s(drawn))
+    assert len(announcements_s) == 3
+    return_s = crashes[0]["at"] + crashes[0]["for_s"]
     assert (
-        moments[0] < falls[0]["at"] < back < moments[0] + 8.0
-    )  # it returns on older weights within the bound
-    assert moments[1] < moments[0] + 8.0 < moments[2] + 8.0
+        announcements_s[0] < crashes[0]["at"] < return_s < announcements_s[0] + 8.0
+    )  # the server returns with older weights before the 8 s limit
+    assert announcements_s[1] < announcements_s[0] + 8.0 < announcements_s[2] + 8.0
 
 
 @pytest.mark.parametrize("point", sorted(POINTS.keys() - {"falling_servers"}))
 @pytest.mark.parametrize("seed", range(20))
-def test_servers_are_down_as_the_first_version_is_named_and_return_after_its_bound(
-    point: str, seed: int
-) -> None:
+def test_servers_are_down_at_the_first_version_and_return_after_its_time_limit(point: str, seed: int) -> None:
     drawn = day(seed, point)
     assert drawn == day(seed, point)
     assert (drawn["name"], drawn["seed"], drawn["light"], "closing" in drawn) == ("drawn", seed, True, False)
     (down,) = [fault for fault in drawn["faults"] if fault["kind"] == "srv_crash"]
-    first = named(drawn)[0]
+    first = announcement_times_s(drawn)[0]
     assert down["service"] == "pool"
     assert down["at"] < first
     assert down["at"] + down["for_s"] >= first + 8.0 - 0.01
@@ -59,22 +57,22 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_further_version_is_named_before_the_servers_return(seed: int) -> None:
+def test_another_version_is_announced_before_the_servers_return(seed: int) -> None:
     drawn = day(seed, "named_again")
     (down,) = [fault for fault in drawn["faults"] if fault["kind"] == "srv_crash"]
-    first, second = named(drawn)
+    first, second = announcement_times_s(drawn)
     assert first < second < down["at"] + down["for_s"]
     assert second <= LAST_NAMED_S
 
 
-def test_moments_follow_each_other() -> None:
+def test_moments_are_in_order() -> None:
     for seed in range(50):
         moments = Moments(random.Random(seed), 10.0)
         order = (moments.down, moments.named, moments.bound, moments.back)
         assert all(earlier <= later for earlier, later in pairwise(order))
 
 
-def test_a_site_file_that_cannot_be_read_is_named(tmp_path, monkeypatch, capsys) -> None:
+def test_the_error_names_an_unreadable_site_file(tmp_path, monkeypatch, capsys) -> None:
     site = tmp_path / "site.toml"
     site.write_text("[[day]]\nname = \n")
     monkeypatch.setattr("sys.argv", ["weights_days", str(site), str(tmp_path / "out")])
