--- a/tests/configuration/test_amendment.py
+++ b/tests/configuration/test_amendment.py
@@ -24,17 +24,18 @@
     return json.dumps({"revision": 9} | fields).encode()
 
 
-def places(body: bytes) -> list[str]:
+def finding_places(body: bytes) -> list[str]:
     result = read_amendment(body)
     return [finding.place for finding in result.error] if result.is_error() else []
 
 
 def route(label: str, host: str = "a.example", prefix: str = "/a/", target: str = "pool-a") -> dict:
-    plain = sample_document()["route_table"][1]
-    return {**plain, "label": label, "hostname": host, "path_prefix": prefix, "target": target}
+    template = sample_document()["route_table"][1]
+    return {**template, "label": label, "hostname": host, "path_prefix": prefix, "target": target}
 
 
-def applied(document: dict, body: bytes) -> tuple[dict | None, list[str]]:
+def amend(document: dict, body: bytes) -> tuple[dict | None, list[str]]:
+    """Return the amended document, or None, with the places of the findings."""
     result = apply_amendment(document, read_amendment(body).ok)
     return (result.ok, []) if result.is_ok() else (None, [finding.place for finding in result.error])
 
@@ -65,7 +66,7 @@
     ],
 )  # fmt: skip
 def test_an_invalid_amendment_is_reported_with_its_place(body: bytes, place: str) -> None:
-    assert places(body) == [place]
+    assert finding_places(body) == [place]
 
 
 def test_items_are_replaced_in_place_added_at_the_end_and_removed() -> None:
@@ -76,7 +77,7 @@
         upsert={"route_table": [route("r-new", prefix="/new/"), changed], "services": [{"label": "pool-c"}]},
         remove={"route_table": ["r-plain"]},
     )
-    result, _ = applied(document, body)
+    result, _ = amend(document, body)
     assert [row["label"] for row in result["route_table"]] == ["r-split", "r-new"]
     assert result["route_table"][0]["timeout_ms"] == 77
     assert result["revision"] == 9
@@ -87,7 +88,7 @@
 
 def test_removing_an_absent_item_changes_nothing_else() -> None:
     document = sample_document()
-    result, _ = applied(document, amendment(remove={"route_table": ["no such"], "tenants": ["nobody"]}))
+    result, _ = amend(document, amendment(remove={"route_table": ["no such"], "tenants": ["nobody"]}))
     assert result == document | {"revision": 9}
 
 
@@ -103,14 +104,14 @@
     ],
 )
 def test_inconsistencies_of_the_resulting_configuration_are_reported(body: bytes, place: str) -> None:
-    _, found = applied(sample_document(), body)
+    _, found = amend(sample_document(), body)
     assert place in found
 
 
 def test_a_key_of_another_tenant_is_reported() -> None:
     document = sample_document()
     key = document["tenants"][0]["api_keys"][0]
-    _, found = applied(document, amendment(upsert={"tenants": [{"label": "new", "api_keys": ["k", key]}]}))
+    _, found = amend(document, amendment(upsert={"tenants": [{"label": "new", "api_keys": ["k", key]}]}))
     assert found == [f"tenants[{len(document['tenants'])}].api_keys[1]"]
 
 
@@ -118,16 +119,14 @@
     document = sample_document()
     first = document["tenants"][0]
     moved = {"label": "new", "api_keys": first["api_keys"]}
-    result, _ = applied(
-        document, amendment(upsert={"tenants": [moved]}, remove={"tenants": [first["label"]]})
-    )
+    result, _ = amend(document, amendment(upsert={"tenants": [moved]}, remove={"tenants": [first["label"]]}))
     assert moved in result["tenants"]
 
 
 def test_a_label_shared_by_several_items_cannot_be_amended() -> None:
     document = sample_document()
     document["route_table"][1]["label"] = "r-split"
-    assert applied(document, amendment(remove={"route_table": ["r-split"]}))[1] == ["route_table"]
+    assert amend(document, amendment(remove={"route_table": ["r-split"]}))[1] == ["route_table"]
 
 
 # ---- the typed configuration equals the amended document
@@ -141,23 +140,24 @@
 LABELS = st.sets(st.sampled_from(("r1", "r2", "r3", "r4")))
 
 
-def rows_of(drawn: dict) -> list[dict]:
-    """One route for each label."""
+def route_rows(drawn: dict) -> list[dict]:
+    """Return one route row for each label; of routes with the same label the last."""
     by_label = {
         label: route(label, host, prefix, target) for (host, prefix), (label, target) in drawn.items()
     }
     return list(by_label.values())
 
 
-def tenants_of(drawn: dict) -> list[dict]:
+def tenant_rows(drawn: dict) -> list[dict]:
+    """Return one tenant row for each label, with the keys drawn for it."""
     labels = sorted(set(drawn.values()))
     return [
-        {"label": label, "api_keys": sorted(k for k, holder in drawn.items() if holder == label)}
+        {"label": label, "api_keys": sorted(key for key, tenant in drawn.items() if tenant == label)}
         for label in labels
     ]
 
 
-def lookups(active: ActiveConfiguration) -> list[object]:
+def lookup_results(active: ActiveConfiguration) -> list[object]:
     routes = [
         active.routes.match(host, path)
         for host in HOSTS
@@ -171,37 +171,37 @@
     steps=st.lists(st.tuples(ROUTES, LABELS, KEYS, st.sets(st.sampled_from(("t1", "t2", "t3"))))),
     keys=st.none() | KEYS,
 )
-def test_amended_tables_equal_those_of_the_whole_configuration(current, steps, keys) -> None:
+def test_amended_tables_equal_those_of_the_complete_configuration(current, steps, keys) -> None:
     document = sample_document() | {
-        "route_table": rows_of(current),
+        "route_table": route_rows(current),
         "services": [{"label": label} for label in SERVICES],
     }
-    document["tenants"] = tenants_of(keys or {})
+    document["tenants"] = tenant_rows(keys or {})
     if keys is None:
         del document["tenants"]
     active = ActiveConfiguration(read_configuration(encode(document)).ok)
-    for number, (upsert, removed, new_keys, removed_tenants) in enumerate(steps, 10):
-        added = rows_of(upsert)
-        tenants = tenants_of(new_keys)
-        kept = removed - {row["label"] for row in added}
-        kept_tenants = removed_tenants - {row["label"] for row in tenants}
+    for revision, (upsert, removed, new_keys, removed_tenants) in enumerate(steps, 10):
+        upserted_routes = route_rows(upsert)
+        upserted_tenants = tenant_rows(new_keys)
+        labels_to_remove = removed - {row["label"] for row in upserted_routes}
+        tenants_to_remove = removed_tenants - {row["label"] for row in upserted_tenants}
         body = json.dumps(
             {
-                "revision": number,
-                "upsert": {"route_table": added, "tenants": tenants},
-                "remove": {"route_table": sorted(kept), "tenants": sorted(kept_tenants)},
+                "revision": revision,
+                "upsert": {"route_table": upserted_routes, "tenants": upserted_tenants},
+                "remove": {"route_table": sorted(labels_to_remove), "tenants": sorted(tenants_to_remove)},
             }
         ).encode()
-        result, faults = applied(document, body)
-        if faults:
+        result, found = amend(document, body)
+        if found:
             assert result is None
             continue
         document = result
         active = active.amended(parse_amendment(body))
-        whole: Configuration = read_configuration(encode(document)).ok
-        assert active.configuration.routes == whole.routes
-        assert active.configuration.services == whole.services
-        assert active.configuration.tenants == whole.tenants
-        assert active.configuration.revision == whole.revision == number
-        assert active.tenants.required == (whole.tenants is not None)
-        assert lookups(active) == lookups(ActiveConfiguration(whole))
+        expected: Configuration = read_configuration(encode(document)).ok
+        assert active.configuration.routes == expected.routes
+        assert active.configuration.services == expected.services
+        assert active.configuration.tenants == expected.tenants
+        assert active.configuration.revision == expected.revision == revision
+        assert active.tenants.required == (expected.tenants is not None)
+        assert lookup_results(active) == lookup_results(ActiveConfiguration(expected))
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -41,21 +41,21 @@
 
 def findings_of(document: Any) -> tuple[Finding, ...]:
     result = read_configuration(encode(document))
-    assert result.is_error(), "no fault was found"
+    assert result.is_error(), "the document was accepted without findings"
     return result.error
 
 
-def places_of(document: Any) -> list[str]:
+def finding_places(document: Any) -> list[str]:
     return [finding.place for finding in findings_of(document)]
 
 
-def accepted(document: Document) -> Configuration:
+def read_valid(document: Document) -> Configuration:
     result = read_configuration(encode(document))
     assert result.is_ok(), result
     return result.ok
 
 
-def test_whole_model_is_built() -> None:
+def test_complete_model_is_built() -> None:
     body = encode(sample_document())
     assert read_configuration(body).ok == Configuration(
         revision=7,
@@ -144,21 +144,21 @@
 def test_digest_distinguishes_bodies() -> None:
     document = sample_document()
     compact = json.dumps(document, separators=(",", ":")).encode()
-    assert read_configuration(compact).ok.digest != accepted(document).digest
+    assert read_configuration(compact).ok.digest != read_valid(document).digest
 
 
 @pytest.mark.parametrize("field", OPTIONAL_ROUTE_FIELDS)
 def test_optional_route_fields_may_be_absent(field: str) -> None:
     document = sample_document()
     del document["route_table"][0][field]
-    accepted(document)
+    read_valid(document)
 
 
 def test_limits_and_tenants_may_be_absent() -> None:
     document = sample_document()
     del document["limits"]
     del document["tenants"]
-    configuration = accepted(document)
+    configuration = read_valid(document)
     assert configuration.limits == Limits()
     assert configuration.tenants is None
 
@@ -166,13 +166,13 @@
 def test_empty_tenants_differ_from_absent_ones() -> None:
     document = sample_document()
     document["tenants"] = []
-    assert accepted(document).tenants == ()
+    assert read_valid(document).tenants == ()
 
 
 def test_unknown_fields_are_permitted_everywhere() -> None:
-    plain = accepted(sample_document())
+    expected = read_valid(sample_document())
     document = sample_document()
-    extended = [
+    extensible = [
         document,
         document["limits"],
         *document["route_table"],
@@ -181,30 +181,30 @@
         document["services"][0]["engine"],
         *document["tenants"],
     ]
-    for row in extended:
+    for row in extensible:
         row["later_field"] = {"quota": [1, None]}
-    configuration = accepted(document)
-    assert configuration.routes == plain.routes
-    assert configuration.services == plain.services
-    assert configuration.tenants == plain.tenants
+    configuration = read_valid(document)
+    assert configuration.routes == expected.routes
+    assert configuration.services == expected.services
+    assert configuration.tenants == expected.tenants
 
 
-def test_one_tenant_may_name_a_key_twice() -> None:
+def test_one_tenant_may_list_a_key_twice() -> None:
     document = sample_document()
     document["tenants"][0]["api_keys"] = ["key-1", "key-1"]
-    accepted(document)
+    read_valid(document)
 
 
 def test_same_prefix_at_another_host_is_permitted() -> None:
     document = sample_document()
     document["route_table"].append({**document["route_table"][0], "hostname": "other.example"})
-    assert len(accepted(document).routes) == 3
+    assert len(read_valid(document).routes) == 3
 
 
 def test_share_of_zero_beside_another_is_permitted() -> None:
     document = sample_document()
     document["route_table"][0]["weighted_targets"][0]["share"] = 0
-    accepted(document)
+    read_valid(document)
 
 
 @pytest.mark.parametrize(
@@ -249,26 +249,26 @@
 )
 
 
-def value_places(value: Any, steps: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def value_paths(value: Any, steps: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     """Return the path to each value below the document."""
     children = (
         value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     )
-    places = [steps] if steps else []
+    paths = [steps] if steps else []
     for step, child in children:
-        places.extend(value_places(child, (*steps, step)))
-    return places
+        paths.extend(value_paths(child, (*steps, step)))
+    return paths
 
 
-@given(steps=st.sampled_from(value_places(sample_document())), value=JSON_VALUES)
+@given(steps=st.sampled_from(value_paths(sample_document())), value=JSON_VALUES)
 def test_any_value_anywhere_is_accepted_or_reported_without_an_exception(
     steps: tuple[Any, ...], value: Any
 ) -> None:
     document = sample_document()
-    holder: Any = document
+    parent: Any = document
     for step in steps[:-1]:
-        holder = holder[step]
-    holder[steps[-1]] = value
+        parent = parent[step]
+    parent[steps[-1]] = value
     result = read_configuration(encode(document))
     if result.is_ok():
         assert parse_configuration(encode(document)) == result.ok
@@ -297,7 +297,7 @@
     document = sample_document()
     document["services"][1] = {"label": 5}
     document["route_table"][0]["timeout_ms"] = 0
-    assert places_of(document) == ["services[1].label", "route_table[0].timeout_ms"]
+    assert finding_places(document) == ["services[1].label", "route_table[0].timeout_ms"]
 
 
 def test_finding_reads_as_one_line() -> None:
@@ -306,21 +306,25 @@
 
 
 def put(*steps: Any, value: Any) -> Mutation:
+    """Return a mutation that sets the value at the path `steps`."""
+
     def mutate(document: Document) -> None:
-        holder: Any = document
+        parent: Any = document
         for step in steps[:-1]:
-            holder = holder[step]
-        holder[steps[-1]] = value
+            parent = parent[step]
+        parent[steps[-1]] = value
 
     return mutate
 
 
 def drop(*steps: Any) -> Mutation:
+    """Return a mutation that deletes the value at the path `steps`."""
+
     def mutate(document: Document) -> None:
-        holder: Any = document
+        parent: Any = document
         for step in steps[:-1]:
-            holder = holder[step]
-        del holder[steps[-1]]
+            parent = parent[step]
+        del parent[steps[-1]]
 
     return mutate
 
@@ -338,9 +342,10 @@
         item["share"] = 0
 
 
-SPLIT = ("route_table", 0)
-PLAIN = ("route_table", 1)
-SHARES = (*SPLIT, "weighted_targets")
+# Paths into the sample document.
+SPLIT_ROUTE = ("route_table", 0)
+PLAIN_ROUTE = ("route_table", 1)
+WEIGHTED_TARGETS = (*SPLIT_ROUTE, "weighted_targets")
 ENGINE = ("services", 0, "engine")
 
 INVALID: dict[str, tuple[Mutation, str]] = {
@@ -350,48 +355,57 @@
     "revision text": (put("revision", value="7"), "revision"),
     "revision null": (put("revision", value=None), "revision"),
     "routes missing": (drop("route_table"), "route_table"),
-    "routes no list": (put("route_table", value={}), "route_table"),
-    "route no object": (put(*PLAIN, value=[]), "route_table[1]"),
+    "routes not a list": (put("route_table", value={}), "route_table"),
+    "route not an object": (put(*PLAIN_ROUTE, value=[]), "route_table[1]"),
     "services missing": (drop("services"), "services"),
-    "service no object": (put("services", 1, value="pool-b"), "services[1]"),
+    "service not an object": (put("services", 1, value="pool-b"), "services[1]"),
     "service without label": (drop("services", 2, "label"), "services[2].label"),
-    "engine no object": (put(*ENGINE, value=3), "services[0].engine"),
+    "engine not an object": (put(*ENGINE, value=3), "services[0].engine"),
     "engine capacity true": (put(*ENGINE, "capacity", value=True), "services[0].engine.capacity"),
-    "model no object": (put(*ENGINE, "model_list", 0, value="m"), "services[0].engine.model_list[0]"),
+    "model not an object": (put(*ENGINE, "model_list", 0, value="m"), "services[0].engine.model_list[0]"),
     "limit text": (put("limits", "max_body_bytes", value="4"), "limits.max_body_bytes"),
-    "limits no object": (put("limits", value=[]), "limits"),
-    "unknown service": (put(*PLAIN, "target", value="pool-c"), "route_table[1].target"),
+    "limits not an object": (put("limits", value=[]), "limits"),
+    "unknown service": (put(*PLAIN_ROUTE, "target", value="pool-c"), "route_table[1].target"),
     "unknown weighted service": (
-        put(*SHARES, 1, "target", value="pool-c"),
+        put(*WEIGHTED_TARGETS, 1, "target", value="pool-c"),
         "route_table[0].weighted_targets[1].target",
     ),
-    "no service": (drop(*PLAIN, "target"), "route_table[1].target"),
+    "no service": (drop(*PLAIN_ROUTE, "target"), "route_table[1].target"),
     "repeated route": (repeat_route, "route_table[2].path_prefix"),
     "repeated route in capitals": (repeat_route_in_capitals, "route_table[2].path_prefix"),
     "shares sum to 0": (zero_all_shares, "route_table[0].weighted_targets"),
-    "no shares": (put(*SHARES, value=[]), "route_table[0].weighted_targets"),
-    "negative share": (put(*SHARES, 1, "share", value=-1), "route_table[0].weighted_targets[1].share"),
-    "share true": (put(*SHARES, 1, "share", value=True), "route_table[0].weighted_targets[1].share"),
-    "share missing": (drop(*SHARES, 1, "share"), "route_table[0].weighted_targets[1].share"),
-    "timeout 0": (put(*PLAIN, "timeout_ms", value=0), "route_table[1].timeout_ms"),
-    "timeout negative": (put(*PLAIN, "timeout_ms", value=-1), "route_table[1].timeout_ms"),
-    "timeout true": (put(*PLAIN, "timeout_ms", value=True), "route_table[1].timeout_ms"),
-    "timeout text": (put(*PLAIN, "timeout_ms", value="5"), "route_table[1].timeout_ms"),
-    "priority true": (put(*SPLIT, "priority", value=True), "route_table[0].priority"),
-    "max_tries text": (put(*SPLIT, "max_tries", value="2"), "route_table[0].max_tries"),
-    "public a number": (put(*SPLIT, "public", value=1), "route_table[0].public"),
-    "unknown kind": (put(*SPLIT, "route_kind", value="bulk"), "route_table[0].route_kind"),
-    "prefix without last slash": (put(*PLAIN, "path_prefix", value="/a"), "route_table[1].path_prefix"),
-    "prefix without first slash": (put(*PLAIN, "path_prefix", value="a/"), "route_table[1].path_prefix"),
-    "prefix empty": (put(*PLAIN, "path_prefix", value=""), "route_table[1].path_prefix"),
+    "no shares": (put(*WEIGHTED_TARGETS, value=[]), "route_table[0].weighted_targets"),
+    "negative share": (
+        put(*WEIGHTED_TARGETS, 1, "share", value=-1),
+        "route_table[0].weighted_targets[1].share",
+    ),
+    "share true": (
+        put(*WEIGHTED_TARGETS, 1, "share", value=True),
+        "route_table[0].weighted_targets[1].share",
+    ),
+    "share missing": (drop(*WEIGHTED_TARGETS, 1, "share"), "route_table[0].weighted_targets[1].share"),
+    "timeout 0": (put(*PLAIN_ROUTE, "timeout_ms", value=0), "route_table[1].timeout_ms"),
+    "timeout negative": (put(*PLAIN_ROUTE, "timeout_ms", value=-1), "route_table[1].timeout_ms"),
+    "timeout true": (put(*PLAIN_ROUTE, "timeout_ms", value=True), "route_table[1].timeout_ms"),
+    "timeout text": (put(*PLAIN_ROUTE, "timeout_ms", value="5"), "route_table[1].timeout_ms"),
+    "priority true": (put(*SPLIT_ROUTE, "priority", value=True), "route_table[0].priority"),
+    "max_tries text": (put(*SPLIT_ROUTE, "max_tries", value="2"), "route_table[0].max_tries"),
+    "public a number": (put(*SPLIT_ROUTE, "public", value=1), "route_table[0].public"),
+    "unknown kind": (put(*SPLIT_ROUTE, "route_kind", value="bulk"), "route_table[0].route_kind"),
+    "prefix without last slash": (put(*PLAIN_ROUTE, "path_prefix", value="/a"), "route_table[1].path_prefix"),
+    "prefix without first slash": (
+        put(*PLAIN_ROUTE, "path_prefix", value="a/"),
+        "route_table[1].path_prefix",
+    ),
+    "prefix empty": (put(*PLAIN_ROUTE, "path_prefix", value=""), "route_table[1].path_prefix"),
     "tenants null": (put("tenants", value=None), "tenants"),
-    "tenant no object": (put("tenants", 1, value="key"), "tenants[1]"),
+    "tenant not an object": (put("tenants", 1, value="key"), "tenants[1]"),
     "tenant without keys": (drop("tenants", 0, "api_keys"), "tenants[0].api_keys"),
     "key a number": (put("tenants", 0, "api_keys", 1, value=5), "tenants[0].api_keys[1]"),
     "isolated text": (put("tenants", 0, "isolated", value="no"), "tenants[0].isolated"),
     "shared key": (put("tenants", 1, "api_keys", 0, value="key-2"), "tenants[1].api_keys[0]"),
     **{
-        f"route without {field}": (drop(*SPLIT, field), f"route_table[0].{field}")
+        f"route without {field}": (drop(*SPLIT_ROUTE, field), f"route_table[0].{field}")
         for field in REQUIRED_ROUTE_FIELDS
     },
 }
@@ -402,11 +416,11 @@
     mutate, place = INVALID[name]
     document = sample_document()
     mutate(document)
-    assert places_of(document) == [place]
+    assert finding_places(document) == [place]
 
 
-CROWD = 6
-ROUTE_FAULTS: dict[str, tuple[Mutation, str]] = {
+MAX_ROW_COUNT = 6
+ROUTE_ERRORS: dict[str, tuple[Mutation, str]] = {
     "unknown service": (put("target", value="nowhere"), ".target"),
     "timeout 0": (put("timeout_ms", value=0), ".timeout_ms"),
     "timeout missing": (drop("timeout_ms"), ".timeout_ms"),
@@ -418,38 +432,39 @@
 }
 
 
-def crowded_document(count: int) -> Document:
+def document_with_rows(count: int) -> Document:
+    """Return a valid document with `count` routes and as many tenants of one key each."""
     document = sample_document()
-    plain = document["route_table"][1]
-    document["route_table"] = [{**plain, "path_prefix": f"/p{index}/"} for index in range(count)]
+    template = document["route_table"][1]
+    document["route_table"] = [{**template, "path_prefix": f"/p{index}/"} for index in range(count)]
     document["tenants"] = [{"label": f"t{index}", "api_keys": [f"k{index}"]} for index in range(count)]
     return document
 
 
-@given(count=st.integers(1, CROWD), data=st.data())
+@given(count=st.integers(1, MAX_ROW_COUNT), data=st.data())
 def test_any_single_error_in_a_route_is_reported_with_its_position(count: int, data: st.DataObject) -> None:
-    document = crowded_document(count)
-    accepted(document)
+    document = document_with_rows(count)
+    read_valid(document)
     position = data.draw(st.integers(0, count - 1))
-    mutate, field = ROUTE_FAULTS[data.draw(st.sampled_from(sorted(ROUTE_FAULTS)))]
+    mutate, field = ROUTE_ERRORS[data.draw(st.sampled_from(sorted(ROUTE_ERRORS)))]
     mutate(document["route_table"][position])
-    assert places_of(document) == [f"route_table[{position}]{field}"]
+    assert finding_places(document) == [f"route_table[{position}]{field}"]
 
 
-@given(pair=st.lists(st.integers(0, CROWD - 1), min_size=2, max_size=2, unique=True).map(sorted))
+@given(pair=st.lists(st.integers(0, MAX_ROW_COUNT - 1), min_size=2, max_size=2, unique=True).map(sorted))
 def test_any_repeated_route_is_reported_with_both_positions(pair: list[int]) -> None:
     first, second = pair
-    document = crowded_document(CROWD)
+    document = document_with_rows(MAX_ROW_COUNT)
     document["route_table"][second]["path_prefix"] = document["route_table"][first]["path_prefix"]
     (finding,) = findings_of(document)
     assert finding.place == f"route_table[{second}].path_prefix"
     assert f"route_table[{first}]" in finding.problem
 
 
-@given(pair=st.lists(st.integers(0, CROWD - 1), min_size=2, max_size=2, unique=True).map(sorted))
+@given(pair=st.lists(st.integers(0, MAX_ROW_COUNT - 1), min_size=2, max_size=2, unique=True).map(sorted))
 def test_any_shared_key_is_reported_with_both_positions(pair: list[int]) -> None:
     first, second = pair
-    document = crowded_document(CROWD)
+    document = document_with_rows(MAX_ROW_COUNT)
     document["tenants"][second]["api_keys"].append(f"k{first}")
     (finding,) = findings_of(document)
     assert finding.place == f"tenants[{second}].api_keys[1]"
@@ -457,11 +472,11 @@
 
 
 def with_revision(revision: int) -> Configuration:
-    return accepted({**sample_document(), "revision": revision})
+    return read_valid({**sample_document(), "revision": revision})
 
 
 @pytest.mark.parametrize(("current", "proposed"), [(7, 7), (7, 6), (7, -8), (None, 0), (None, -1)])
-def test_revision_must_rise(current: int | None, proposed: int) -> None:
+def test_revision_must_increase(current: int | None, proposed: int) -> None:
     current_configuration = None if current is None else with_revision(current)
     (finding,) = check_successor(current_configuration, with_revision(proposed))
     assert finding.place == "revision"
--- a/tests/configuration/test_routes.py
+++ b/tests/configuration/test_routes.py
@@ -23,15 +23,16 @@
 
 def configuration_of(rows: list[tuple[str, str]]) -> Configuration:
     document = sample_document()
-    plain = document["route_table"][1]
+    template = document["route_table"][1]
     document["route_table"] = [
-        {**plain, "label": f"r{index}", "hostname": hostname, "path_prefix": prefix}
+        {**template, "label": f"r{index}", "hostname": hostname, "path_prefix": prefix}
         for index, (hostname, prefix) in enumerate(rows)
     ]
     return read_configuration(encode(document)).ok
 
 
 def longest_match(configuration: Configuration, host: str, path: str) -> Route | None:
+    """Return the route with the longest matching prefix, found by a linear search."""
     matching = [
         route
         for route in configuration.routes
@@ -103,7 +104,7 @@
     assert table.match("[::2]:8080", "/a") is None
 
 
-def test_holder_of_each_key() -> None:
+def test_each_key_is_looked_up_to_its_tenant() -> None:
     configuration = read_configuration(encode(sample_document())).ok
     table = TenantTable(configuration)
     assert table.required
@@ -115,7 +116,7 @@
 
 
 @pytest.mark.parametrize("tenants", [None, []])
-def test_keys_are_required_where_the_configuration_holds_tenants(tenants: list[object] | None) -> None:
+def test_keys_are_required_if_the_configuration_lists_tenants(tenants: list[object] | None) -> None:
     document = sample_document()
     del document["tenants"]
     if tenants is not None:
--- a/tests/configuration/test_schema_check.py
+++ b/tests/configuration/test_schema_check.py
@@ -28,31 +28,33 @@
     | st.integers(-3, 3)
     | st.floats()
     | st.sampled_from(["", "text", "10.0.0.1:80", "10.0.0.1:0", ":80", "a:99999"]),
-    lambda inner: (
-        st.lists(inner, max_size=3) | st.dictionaries(st.sampled_from(["a", "label"]), inner, max_size=2)
+    lambda child: (
+        st.lists(child, max_size=3) | st.dictionaries(st.sampled_from(["a", "label"]), child, max_size=2)
     ),
     max_leaves=4,
 )
 
 
-def places(value: object, path: tuple = ()) -> list[tuple]:
-    found = [path] if path else []
+def value_paths(value: object, path: tuple = ()) -> list[tuple]:
+    """Return the path to each value below the document."""
+    paths = [path] if path else []
     items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    for key, inner in items:
-        found += places(inner, (*path, key))
-    return found
+    for key, child in items:
+        paths += value_paths(child, (*path, key))
+    return paths
 
 
-def changed(document: dict, path: tuple, value: object, drop: bool) -> dict:
-    copied = copy.deepcopy(document)
-    holder = copied
-    for step in path[:-1]:
-        holder = holder[step]
+def mutated_copy(document: dict, path: tuple, value: object, drop: bool) -> dict:
+    """Return a copy of the document with the value at the path replaced, or deleted if `drop` is set."""
+    mutated = copy.deepcopy(document)
+    parent = mutated
+    for key in path[:-1]:
+        parent = parent[key]
     if drop:
-        del holder[path[-1]]
+        del parent[path[-1]]
     else:
-        holder[path[-1]] = value
-    return copied
+        parent[path[-1]] = value
+    return mutated
 
 
 @given(data=st.data(), value=ARBITRARY_VALUES, drop=st.booleans())
@@ -60,11 +62,11 @@
     schema, document = data.draw(
         st.sampled_from([(settings._SCHEMA, SETTINGS), (configuration._OUTLINE, sample_document())])
     )
-    arbitrary = changed(document, data.draw(st.sampled_from(places(document))), value, drop)
-    findings = cerberus_findings(schema, arbitrary)
-    if is_plainly_valid(schema, arbitrary):
+    mutated = mutated_copy(document, data.draw(st.sampled_from(value_paths(document))), value, drop)
+    findings = cerberus_findings(schema, mutated)
+    if is_plainly_valid(schema, mutated):
         assert findings == ()
-    assert schema_findings(schema, arbitrary) == findings
+    assert schema_findings(schema, mutated) == findings
 
 
 def test_valid_documents_are_plainly_valid() -> None:
