--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -19,7 +19,7 @@
 
 from iristrack.config import read_address
 from iristrack.http1 import messages as http
-from iristrack.runtime.scheduler import READ, WRITE, Scheduler, clock, listening, send_all
+from iristrack.runtime.scheduler import READ, WRITE, Scheduler, clock, open_listener, send_all
 
 STALL_NS = 10 * 10**9  # any wait longer than this ends the connection
 RECEIVE = 65536
@@ -83,7 +83,7 @@
     except ValueError as fault:
         parser.error(str(fault))
     scheduler = Scheduler()
-    listener = listening(listen, 1024)
+    listener = open_listener(listen, 1024)
 
     def accept() -> None:
         try:
--- a/iristrack/__main__.py
+++ b/iristrack/__main__.py
@@ -21,7 +21,7 @@
 from iristrack import __version__
 from iristrack.cli import lab, state, system
 from iristrack.config import Config, ConfigError, load_config
-from iristrack.net.door import Door
+from iristrack.net.admin import AdminServer
 from iristrack.net.front import HttpFront
 from iristrack.net.sidecar import Sidecar
 from iristrack.runtime.log_sink import nonblocking_sink
@@ -66,7 +66,9 @@
     sidecar = Sidecar(scheduler, config, learned)
     sidecar.trace = trace
     front = HttpFront(scheduler, sidecar, config.listen, os.environ.get("TMPDIR", ""))
-    door = Door(scheduler, config.admin, lambda: front.serving, sidecar.stats) if config.admin else None
+    door = (
+        AdminServer(scheduler, config.admin, lambda: front.serving, sidecar.stats) if config.admin else None
+    )
 
     def signalled() -> None:
         numbers = woken.recv(64)
--- a/iristrack/controlplane/list_poller.py
+++ b/iristrack/controlplane/list_poller.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from iristrack.controlplane.distribution import Distribution
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.platform_api.server_list import ListUnavailable, fetch_list, to_message
 from iristrack.relay import topics
 from iristrack.runtime.scheduler import Scheduler
@@ -49,7 +49,7 @@
         self._heard_at = self.scheduler.now()
         distribution.on_learned.append(self._on_learned)
         if provider is not None:
-            self._caller = Caller(scheduler, (provider.address.host, provider.address.port))
+            self._caller = HttpClient(scheduler, (provider.address.host, provider.address.port))
             scheduler.spawn("list poller", self._run)
 
     def _on_learned(self, update: Update) -> None:
--- a/iristrack/controlplane/prefix_cache_watch.py
+++ b/iristrack/controlplane/prefix_cache_watch.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from iristrack.http1 import messages as http
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.placement.ranking import hash64, mix64
 from iristrack.prefix_index.catalog import KeptCatalog, changes_of_events, changes_of_list, coalesce_changes
 from iristrack.prefix_index.kv_events import (
@@ -149,7 +149,7 @@
             self._all.append(change)
 
     def _watch(self, holder: str) -> None:
-        caller = Caller(self.scheduler, parse_address(holder))
+        caller = HttpClient(self.scheduler, parse_address(holder))
         cursor = START_CURSOR
         listed_at: int | None = None
         failed = False
@@ -171,7 +171,7 @@
             caller.close()
             raise
 
-    def _take_events(self, caller: Caller, holder: str, cursor: Cursor) -> tuple[Cursor, bool]:
+    def _take_events(self, caller: HttpClient, holder: str, cursor: Cursor) -> tuple[Cursor, bool]:
         """Ask for what changed since the cursor; the next one, and whether events were lost."""
         target = b"/kv-events?since=%d" % cursor.since
         answer = parse_events(_call(caller, target, b"Wait-Ms: %d\r\n" % HOLD_MS))
@@ -181,14 +181,14 @@
         self._publish(changes_of_events(holder, step.events))
         return step.cursor, answer.lost
 
-    def _take_list(self, caller: Caller, holder: str) -> Cursor:
+    def _take_list(self, caller: HttpClient, holder: str) -> Cursor:
         """All that the holder keeps: priced, and asked for only where events were lost, as after a start."""
         answer = parse_list(_call(caller, b"/kv-list", b""))
         self._publish(changes_of_list(holder, answer.owned))
         return Cursor(answer.epoch, answer.next_token)
 
 
-def _call(caller: Caller, target: bytes, lines: bytes) -> bytes:
+def _call(caller: HttpClient, target: bytes, lines: bytes) -> bytes:
     answer = caller.call(b"GET", target, lines, b"", clock() + CALL_TIMEOUT_NS)
     if answer.head.status != 200:
         raise MalformedAnswer(f"status {answer.head.status}")
--- a/iristrack/controlplane/weight_orders.py
+++ b/iristrack/controlplane/weight_orders.py
@@ -8,7 +8,7 @@
 from iristrack.engines.reports import MalformedReport, Report, read_report
 from iristrack.engines.rolling_upgrade import Upgrade
 from iristrack.http1 import messages as http
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.runtime.scheduler import Scheduler
 from iristrack.wire.dialing import parse_address
 
@@ -35,7 +35,7 @@
 
     def upgrade(self, upgrade: Upgrade) -> bool:
         """Order a server to take the weights and wait until its report tells them, from a task; false: given up."""
-        caller = Caller(self.scheduler, parse_address(upgrade.address))
+        caller = HttpClient(self.scheduler, parse_address(upgrade.address))
         began = self.scheduler.now()
         ordered = False
         try:
@@ -52,14 +52,14 @@
         finally:
             caller.close()
 
-    def _report(self, caller: Caller) -> Report | None:
+    def _report(self, caller: HttpClient) -> Report | None:
         try:
             answer = caller.call(b"GET", b"/report", b"", b"", self.scheduler.now() + CALL_TIMEOUT_NS)
             return read_report(answer.body) if answer.head.status == 200 else None
         except (OSError, http.Malformed, http.Truncated, MalformedReport):
             return None
 
-    def order(self, caller: Caller, upgrade: Upgrade, report: Report) -> bool:
+    def order(self, caller: HttpClient, upgrade: Upgrade, report: Report) -> bool:
         """Give the order if the lease still holds; whether the server has it, as far as is known."""
         if not self.lease.may_act(self.scheduler.now()):
             return False
--- a/iristrack/dataplane/clients.py
+++ b/iristrack/dataplane/clients.py
@@ -16,7 +16,7 @@
     Scheduler,
     Task,
     clock,
-    listening,
+    open_listener,
     send_all,
 )
 
@@ -128,13 +128,13 @@
         self.exchange = exchange
         self.most = most
         self.most_body = 4 << 20
-        self.most_head = http.MAX_HEAD
+        self.most_head = http.MAX_HEAD_BYTES
         self.header_ns = 3 * NS_PER_S
         self.idle_ns = 15 * NS_PER_S
         self.connections: set[ClientConnection] = set()
         self.closing = False  # connections end with the answer under way
         self.on_empty: Callable[[], None] | None = None
-        self._listener: socket.socket | None = listening(address, BACKLOG)
+        self._listener: socket.socket | None = open_listener(address, BACKLOG)
         self._accepting = False
         self._resume()
 
--- a/iristrack/dataplane/discovery.py
+++ b/iristrack/dataplane/discovery.py
@@ -6,7 +6,7 @@
 
 from iristrack import interface as mi
 from iristrack.dataplane.state import PlaneState
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.placement.servers import ListedServer
 from iristrack.platform_api.server_list import ListUnavailable, fetch_list, from_message
 from iristrack.runtime.scheduler import clock
@@ -54,7 +54,7 @@
         self._heard_at = clock()
         provider = plane.settings.provider_api
         if provider is not None:
-            self.caller = Caller(plane.scheduler, (provider.address.host, provider.address.port))
+            self.caller = HttpClient(plane.scheduler, (provider.address.host, provider.address.port))
             plane.scheduler.spawn("list poller", self._run)
 
     def on_update(self, value: bytes) -> None:
--- a/iristrack/http1/connection.py
+++ b/iristrack/http1/connection.py
@@ -23,8 +23,8 @@
         scheduler: Scheduler,
         sock: socket.socket,
         target: object,
-        limit: int = http.LONGEST_BODY,
-        whole: int = http.MAX_BODY,
+        limit: int = http.MAX_BODY_BYTES,
+        whole: int = http.MAX_BUFFERED_BODY_BYTES,
     ) -> None:
         """`target` is whatever the caller keeps of the peer, None for a connection of no pool."""
         self.scheduler = scheduler
--- a/iristrack/http1/fetching.py
+++ b/iristrack/http1/fetching.py
@@ -9,7 +9,7 @@
 MOST_ANSWER = 32 << 20
 
 
-class Caller:
+class HttpClient:
     """Calls one address, one call at a time, and keeps its connection between calls."""
 
     def __init__(self, scheduler: Scheduler, address: Address) -> None:
--- a/iristrack/http1/messages.py
+++ b/iristrack/http1/messages.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from urllib.parse import quote
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024  # of a message that is kept whole
-LONGEST_BODY = 32 << 20  # of a message that is passed on in pieces
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # of a message that is kept whole
+MAX_BODY_BYTES = 32 << 20  # of a message that is passed on in pieces
 MAX_CHUNK_LINE = 4096  # with its extensions
 LAST_CHUNK = b"0\r\n\r\n"
 MAX_INTERIM = 16  # 1xx answers ahead of one final answer
@@ -168,14 +168,19 @@
         "_whole", "done", "head", "received",
     )  # fmt: skip
 
-    def __init__(self, response: bool = False, limit: int = MAX_BODY, whole: int = MAX_BODY) -> None:
+    def __init__(
+        self,
+        response: bool = False,
+        limit: int = MAX_BUFFERED_BODY_BYTES,
+        whole: int = MAX_BUFFERED_BODY_BYTES,
+    ) -> None:
         """For requests, or for responses; a body may hold `limit` bytes, and `whole` of them are kept."""
         self._response = response
         self._limit = limit
         self._whole = whole
         self._buffer = bytearray()
         self._interim = 0
-        self._most_head = MAX_HEAD
+        self._most_head = MAX_HEAD_BYTES
         self._reset()
 
     def bound(self, limit: int, most_head: int) -> None:
@@ -327,7 +332,7 @@
                     self.done = True
                     return
                 self._at += len(line)
-                if not _FIELD.fullmatch(line + b"\r\n") or self._at > MAX_HEAD:
+                if not _FIELD.fullmatch(line + b"\r\n") or self._at > MAX_HEAD_BYTES:
                     raise Malformed(400, "a trailer that cannot be read")
                 continue
             match = _CHUNK.match(line)
--- a/iristrack/http1/serving.py
+++ b/iristrack/http1/serving.py
@@ -8,7 +8,7 @@
 
 from iristrack.http1 import messages as http
 from iristrack.http1.connection import RECEIVE, Address
-from iristrack.runtime.scheduler import READ, WRITE, Cancelled, Scheduler, clock, listening, send_all
+from iristrack.runtime.scheduler import READ, WRITE, Cancelled, Scheduler, clock, open_listener, send_all
 
 NS_PER_S = 1_000_000_000
 IDLE_NS = 20 * NS_PER_S
@@ -51,7 +51,7 @@
         self.most_connections = most_connections
         self.connections = 0
         self.stopping = False
-        self._listener: socket.socket | None = listening(address, BACKLOG)
+        self._listener: socket.socket | None = open_listener(address, BACKLOG)
         self._watch()
 
     def stop(self) -> None:
--- a/iristrack/net/door.py
+++ b/iristrack/net/admin.py
@@ -14,9 +14,18 @@
 from iristrack import interface as mi
 from iristrack.config import Address
 from iristrack.http1 import messages as http
-from iristrack.runtime.scheduler import READ, WRITE, Cancelled, Scheduler, Task, clock, listening, send_all
-
-MOST_CALLERS = 32  # at once; with the listener, under DOOR_DESCRIPTORS
+from iristrack.runtime.scheduler import (
+    READ,
+    WRITE,
+    Cancelled,
+    Scheduler,
+    Task,
+    clock,
+    open_listener,
+    send_all,
+)
+
+MOST_CALLERS = 32  # at once; with the listener, under ADMIN_DESCRIPTORS
 CALL_NS = 2 * mi.NS_PER_S  # a call must be whole, and its answer taken, so long after connecting
 SILENT_NS = 50 * mi.NS_PER_MS  # once all places are taken, who has been here longer without a call goes
 FULL_NS = 5 * mi.NS_PER_MS  # between looks while all places are taken
@@ -28,7 +37,7 @@
 _PLAIN = b"Content-Type: text/plain\r\n"
 
 
-class Door:
+class AdminServer:
     """Answers `GET /healthcheck` and `GET /stats`."""
 
     def __init__(
@@ -51,7 +60,7 @@
 
     def start(self) -> None:
         """Listen; raises `OSError` where the address cannot be had."""
-        self._listener = listening(self.address, BACKLOG)
+        self._listener = open_listener(self.address, BACKLOG)
         self._resume()
 
     def _resume(self) -> None:
--- a/iristrack/net/front.py
+++ b/iristrack/net/front.py
@@ -38,7 +38,7 @@
     Scheduler,
     Task,
     clock,
-    listening,
+    open_listener,
     send_all,
 )
 
@@ -98,7 +98,7 @@
         self.overdue = False  # its place is wanted, and its request does not come on
         self.sock = sock
         self.fd = sock.fileno()
-        self.reader = http.Reader(limit=http.LONGEST_BODY)
+        self.reader = http.Reader(limit=http.MAX_BODY_BYTES)
         # When the request under way began, when its head was whole, when the client last gave anything, and for how
         # long it could not because the pool server took nothing.
         self.begun = self.head_at = self.heard = self.held_up = 0
@@ -245,7 +245,7 @@
             logger.info("the predecessor's listening socket is shared")
         else:
             # Shared: where a predecessor cannot be spoken with, a new version can still begin beside it.
-            self._listener = listening(self.listen, self.sidecar.config.sockets, shared=True)
+            self._listener = open_listener(self.listen, self.sidecar.config.sockets, shared=True)
         self.handover.follow(self._adopt, self._resize, self._alone)
         self._begin(inherited is not None)
         self._sweep()
@@ -484,7 +484,7 @@
             return
         client.sock.shutdown(socket.SHUT_WR)
         deadline = clock() + ns
-        for _ in range(2 * http.LONGEST_BODY // RECEIVE):
+        for _ in range(2 * http.MAX_BODY_BYTES // RECEIVE):
             self.scheduler.wait(client.fd, READ, deadline)
             with suppress(BlockingIOError):
                 if not client.sock.recv(RECEIVE):
--- a/iristrack/net/links.py
+++ b/iristrack/net/links.py
@@ -46,7 +46,9 @@
 class Links:
     """All connections to pool servers of one sidecar."""
 
-    def __init__(self, scheduler: Scheduler, idle_ns: int, most: int, whole: int = http.MAX_BODY) -> None:
+    def __init__(
+        self, scheduler: Scheduler, idle_ns: int, most: int, whole: int = http.MAX_BUFFERED_BODY_BYTES
+    ) -> None:
         """`idle_ns` is how long servers keep an idle one, `most` how many may be open, `whole` is for `http.Reader`."""
         self.scheduler = scheduler
         self.idle_ns = int(idle_ns * IDLE_USED)
--- a/iristrack/net/sidecar.py
+++ b/iristrack/net/sidecar.py
@@ -38,7 +38,7 @@
 LEAST_PIECE = 4 * 1024
 REPORT_EVERY_NS = 10 * mi.NS_PER_S
 OWN_DESCRIPTORS = 24  # standard streams, listener, poll, discovery and some in hand
-DOOR_DESCRIPTORS = 36  # and what the operators' door may hold, where there is one
+ADMIN_DESCRIPTORS = 36  # and what the operators' door may hold, where there is one
 
 
 class Ending(Enum):
@@ -597,9 +597,11 @@
 
     Each open request needs one of both; clients that have none yet, or no longer, make up the difference.
     """
-    most = config.sockets - OWN_DESCRIPTORS - (DOOR_DESCRIPTORS if config.admin else 0)
+    most = config.sockets - OWN_DESCRIPTORS - (ADMIN_DESCRIPTORS if config.admin else 0)
     if config.memory_mb:  # half of the memory, were every connection full to its bounds
-        most = min(most, (config.memory_mb << 20) // 2 // (http.MAX_HEAD + http.MAX_BODY))
+        most = min(
+            most, (config.memory_mb << 20) // 2 // (http.MAX_HEAD_BYTES + http.MAX_BUFFERED_BODY_BYTES)
+        )
     links = max(8, most * 2 // 5)
     return max(8, most - links), links
 
--- a/iristrack/platform_api/server_list.py
+++ b/iristrack/platform_api/server_list.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from iristrack.http1 import messages as http
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.placement.servers import ListedServer
 from iristrack.wire.messages import ModelRevision, ServerEntry, ServersValue
 
@@ -87,7 +87,7 @@
     ]
 
 
-def fetch_list(caller: Caller, deadline: int) -> list[ListedServer]:
+def fetch_list(caller: HttpClient, deadline: int) -> list[ListedServer]:
     """All pages; raises `ListUnavailable` where one is missing, for half a list would tell of servers that are gone."""
     entries: list[ListedServer] = []
     target = b"/instances"
--- a/iristrack/runtime/scheduler.py
+++ b/iristrack/runtime/scheduler.py
@@ -22,7 +22,7 @@
 READ = select.POLLIN | HANG_UP
 WRITE = select.POLLOUT
 WOKEN = 0  # what `wait` returns when another task called `wake`
-FEWEST_STALE = 256  # cancelled timers that the heap may always hold
+MIN_STALE_TIMERS = 256  # cancelled timers that the heap may always hold
 
 # Unix time as of the start, carried on by the monotonic clock: comparable with other machines' stamps, and
 # a step of the wall clock moves neither deadlines nor the ages of pool servers.
@@ -44,7 +44,7 @@
             wait()
 
 
-def listening(address: tuple[str, int], backlog: int, shared: bool = False) -> socket.socket:
+def open_listener(address: tuple[str, int], backlog: int, shared: bool = False) -> socket.socket:
     """A socket that listens, `shared` with others of this user; raises `OSError` where the address cannot be had."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -169,7 +169,7 @@
     def forget_timer(self) -> None:
         """Count a cancelled timer or deadline; the heap is swept when most of it is stale."""
         self._stale += 1
-        if self._stale > FEWEST_STALE and self._stale * 2 > len(self._timers):
+        if self._stale > MIN_STALE_TIMERS and self._stale * 2 > len(self._timers):
             # Guards memory: waits mostly end before their deadlines, which would stay here until they pass.
             self._timers = [entry for entry in self._timers if _live(entry)]
             heapq.heapify(self._timers)
--- a/iristrack/simulation/control_operators.py
+++ b/iristrack/simulation/control_operators.py
@@ -138,5 +138,5 @@
 
 def http_message(method: bytes, target: bytes, lines: bytes = b"", body: bytes = b"") -> http.Message:
     """A call as the listener hands it on."""
-    reader = http.Reader(limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+    reader = http.Reader(limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
     return reader.feed(http.request(method, target, lines, body))
--- a/iristrack/wire/connection.py
+++ b/iristrack/wire/connection.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from iristrack.runtime.scheduler import READ, WRITE, Cancelled, Scheduler, Task, clock, listening
+from iristrack.runtime.scheduler import READ, WRITE, Cancelled, Scheduler, Task, clock, open_listener
 from iristrack.wire.codec import FrameReader, WireError, encode
 from iristrack.wire.messages import Message
 
@@ -156,7 +156,7 @@
         """Raises `OSError` where the address cannot be had."""
         self.scheduler = scheduler
         self.on_socket = on_socket
-        self.listener = listening(address, BACKLOG)
+        self.listener = open_listener(address, BACKLOG)
         self._stopped = False
         self._watch()
 
--- a/tests/controlplane/calls.py
+++ b/tests/controlplane/calls.py
@@ -6,7 +6,7 @@
 
 
 def message(method: bytes, target: bytes, lines: bytes = b"", body: bytes = b"") -> http.Message:
-    reader = http.Reader(limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+    reader = http.Reader(limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
     return reader.feed(http.request(method, target, lines, body))
 
 
--- a/tests/dataplane/stand.py
+++ b/tests/dataplane/stand.py
@@ -24,7 +24,7 @@
 from iristrack.http1.connection import connect
 from iristrack.net.links import Links
 from iristrack.placement.servers import ListedServer, Server
-from iristrack.runtime.scheduler import READ, WRITE, Scheduler, clock, listening, send_all
+from iristrack.runtime.scheduler import READ, WRITE, Scheduler, clock, open_listener, send_all
 from iristrack.settings import read_settings
 
 NS_PER_S = 1_000_000_000
@@ -103,7 +103,7 @@
         self.requests: list[http.Message] = []
         self.opened = 0
         self.ended = 0  # connections of which `wait_for_end` saw the end
-        self._listener = listening(LOOPBACK, 16)
+        self._listener = open_listener(LOOPBACK, 16)
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
         scheduler.watch(self._listener.fileno(), self._accept)
@@ -120,7 +120,7 @@
         self.scheduler.spawn("stand-in server", self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
-        reader = http.Reader(limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+        reader = http.Reader(limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
         try:
             while sock.fileno() >= 0:
                 message = None if reader.empty else reader.feed(b"")
@@ -180,7 +180,7 @@
     def __init__(self, stand: Stand) -> None:
         self.scheduler = stand.scheduler
         self.sock = connect(stand.scheduler, stand.address, clock() + PATIENCE_NS)
-        self.reader = http.Reader(response=True, limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+        self.reader = http.Reader(response=True, limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
 
     def send(self, data: bytes) -> None:
         send_all(self.sock, data, lambda: self.scheduler.wait(self.sock.fileno(), WRITE, None))
--- a/tests/http1/calls.py
+++ b/tests/http1/calls.py
@@ -8,7 +8,7 @@
 
 from iristrack.http1 import messages as http
 from iristrack.http1.connection import connect
-from iristrack.runtime.scheduler import READ, Scheduler, clock, listening
+from iristrack.runtime.scheduler import READ, Scheduler, clock, open_listener
 
 PATIENCE_NS = 10**10  # only a failing test waits so long
 LOOPBACK = ("127.0.0.1", 0)
@@ -58,7 +58,7 @@
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self.loop = loop
         self.sock = connect(loop.scheduler, address, clock() + PATIENCE_NS)
-        self.reader = http.Reader(response=True, limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+        self.reader = http.Reader(response=True, limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
 
     def send(self, data: bytes) -> None:
         assert self.sock.send(data) == len(data)
@@ -89,7 +89,7 @@
         self.serve = serve
         self.opened = 0
         self.requests: list[http.Message] = []
-        self._listener = listening(LOOPBACK, 8)
+        self._listener = open_listener(LOOPBACK, 8)
         self.address = self._listener.getsockname()
         loop.scheduler.watch(self._listener.fileno(), self._accept)
 
--- a/tests/http1/test_fetching.py
+++ b/tests/http1/test_fetching.py
@@ -3,7 +3,7 @@
 import pytest
 
 from iristrack.http1 import messages as http
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.runtime.scheduler import clock
 from tests.http1.calls import PATIENCE_NS, Loop, StandInServer
 
@@ -19,7 +19,7 @@
         self.answers = list(answers)
         self.end = end
         self.server = StandInServer(self.loop, self._serve)
-        self.caller = Caller(self.loop.scheduler, self.server.address)
+        self.caller = HttpClient(self.loop.scheduler, self.server.address)
 
     def _serve(self, sock) -> None:
         while self.answers:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -78,7 +78,7 @@
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        reader = http.Reader(limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+        reader = http.Reader(limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
         try:
             while data := sock.recv(65536):
                 message = reader.feed(data)
--- a/tests/test_door.py
+++ b/tests/test_admin.py
@@ -14,7 +14,7 @@
 from stage import ROOT, Client, Stage, call, error, free_port, reject, reset, serve, silent, until
 
 from iristrack.config import ConfigError, load_config
-from iristrack.net.door import MOST_CALLERS, Door
+from iristrack.net.admin import MOST_CALLERS, AdminServer
 from iristrack.net.front import HttpFront
 from iristrack.net.sidecar import Sidecar
 from iristrack.runtime.scheduler import Scheduler
@@ -135,7 +135,7 @@
 
 def test_a_call_costs_a_few_turns_of_a_loop_that_is_never_idle() -> None:
     scheduler = Scheduler()
-    door = Door(scheduler, ("127.0.0.1", free_port()), lambda: True, lambda: {"outstanding": 1})
+    door = AdminServer(scheduler, ("127.0.0.1", free_port()), lambda: True, lambda: {"outstanding": 1})
     door.start()
     over, turns = threading.Event(), []
 
@@ -171,7 +171,7 @@
     config = load_config({"NODE_CONFIG": str(ROOT / "examples" / "config.json")})
     scheduler, lines = Scheduler(), []
     http_front = HttpFront(scheduler, Sidecar(scheduler, config), config.listen)
-    door = Door(scheduler, ("127.0.0.1", 0), lambda: True, dict)
+    door = AdminServer(scheduler, ("127.0.0.1", 0), lambda: True, dict)
     sink = logger.add(lambda line: lines.append(str(line)), level="WARNING", format="{message}")
     ours, theirs = socket.socketpair()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -123,7 +123,7 @@
         (b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1" * 5000, 400),
         (b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", 413),
         (b"GET / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
-        (b"GET / HTTP/1.1\r\nX: " + b"a" * http.MAX_HEAD, 431),
+        (b"GET / HTTP/1.1\r\nX: " + b"a" * http.MAX_HEAD_BYTES, 431),
         (b"GET / HTTP/2.0\r\n\r\n", 505),
         (b"GET /\r\n\r\n", 400),
         (b"GET  / HTTP/1.1\r\n\r\n", 400),
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -24,7 +24,7 @@
 
 def long_client(program: Program) -> Client:
     client = Client(program.port)
-    client.reader = http.Reader(response=True, limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+    client.reader = http.Reader(response=True, limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
     return client
 
 
@@ -204,7 +204,7 @@
     program = stage.start()
     head = call("r1", "pay").partition(b"Content-Length")[0]
     client = Client(program.port)
-    client.sock.sendall(head + b"Content-Length: %d\r\n\r\n" % (http.LONGEST_BODY + 1))
+    client.sock.sendall(head + b"Content-Length: %d\r\n\r\n" % (http.MAX_BODY_BYTES + 1))
     assert client.read().head.status == 413
     client = Client(program.port)
     lie = b"Transfer-Encoding: chunked\r\n\r\n" + b"20000\r\n" + block(0x20000) + b"zz\r\n"
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from iristrack.runtime.scheduler import FEWEST_STALE, READ, WOKEN, Cancelled, Scheduler, clock
+from iristrack.runtime.scheduler import MIN_STALE_TIMERS, READ, WOKEN, Cancelled, Scheduler, clock
 
 HOUR = 3600 * 10**9
 
@@ -80,9 +80,9 @@
         now = clock()
         for ms in (3, 1, 2):
             scheduler.call_at(now + ms * 1_000_000, noted.append, ms)
-        for _ in range(10 * FEWEST_STALE):
+        for _ in range(10 * MIN_STALE_TIMERS):
             scheduler.call_at(now + HOUR, noted.append, "never").cancel()
-        assert len(scheduler._timers) < 3 * FEWEST_STALE
+        assert len(scheduler._timers) < 3 * MIN_STALE_TIMERS
         while len(noted) < 3:
             scheduler.sleep(1_000_000)
 
