--- a/iristrack/runtime/__init__.py
+++ b/iristrack/runtime/__init__.py
@@ -1,1 +1,4 @@
-"""The event loop, timers and sockets that every program of this project runs on; it knows no request."""
+"""The event loop, timers, sockets, signals and logs that every program of this project runs on.
+
+Nothing here depends on HTTP or on requests.
+"""
--- a/iristrack/runtime/event_log.py
+++ b/iristrack/runtime/event_log.py
@@ -1,8 +1,8 @@
-"""The log of a process in service: one line of key=value pairs (logfmt) for each event.
+"""Structured log of a process: one line of key=value pairs (logfmt) per event.
 
-A line is `level=... event=...`, the fields that are bound to the log, then those of the event; `exception` adds the
-traceback of the exception being handled. It stands in for structlog, which with its imports costs each process 0.14 s
-of processor time at its start and 6 MB (`docs/performance.md`); calls are the same.
+A line is `level=... event=...`, the fields bound to the log, then those of the event; `exception` adds the traceback
+of the exception being handled. The interface is that of structlog, which is not used because importing it costs each
+process 0.14 s of CPU time at startup and 6 MB of memory (`docs/performance.md`).
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 
 
 class EventLog:
-    """Writes events as lines."""
+    """Writes each event as one logfmt line."""
 
     def __init__(self, write: Callable[[str], None], **bound: object) -> None:
-        """`write` takes each line with its end; `bound` fields stand in every line."""
+        """`write` is called with each line, including its newline; the `bound` fields are part of every line."""
         self._write = write
         self._bound = bound
 
     def info(self, event: str, **fields: object) -> None:
-        """Something that is expected happened."""
+        """Log an expected event."""
         self._log("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Something is not as it should be, and service goes on."""
+        """Log an abnormal event that does not interrupt service."""
         self._log("warning", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Something failed."""
+        """Log a failure."""
         self._log("error", event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """Something failed by an exception, which is being handled now."""
+        """Log a failure with the traceback of the exception being handled."""
         self._log("error", event, fields | {"exception": traceback.format_exc().rstrip("\n")})
 
     def _log(self, level: str, event: str, fields: dict[str, object]) -> None:
@@ -46,7 +46,7 @@
 
 
 def _text(value: object) -> str:
-    """Return a value as logfmt writes it: quoted where it would not be read as one word."""
+    """Return a value as logfmt text, quoted if it would not be read as one word."""
     if value is None:
         return ""
     if isinstance(value, bool):
--- a/iristrack/runtime/log_sink.py
+++ b/iristrack/runtime/log_sink.py
@@ -1,4 +1,4 @@
-"""Log output that never holds up the event loop."""
+"""Log output that never blocks the event loop."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def nonblocking_sink(descriptor: int) -> Callable[[str], None]:
-    """A sink for log lines that never waits: what its reader leaves no room for is dropped."""
+    """Return a sink for log lines that never blocks: lines that do not fit into the pipe are dropped."""
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
 
     def write(line: str) -> None:
-        # Guards the loop: a full pipe that nobody reads would stop it at its next line. A pipe that is ready
-        # takes PIPE_BUF bytes without waiting.
+        # A write to a full pipe without a reader would block the event loop. A pipe that polls as writable takes
+        # PIPE_BUF bytes without blocking.
         data = line.encode("utf-8", "replace")
         with suppress(OSError):
             for at in range(0, len(data), select.PIPE_BUF):
--- a/iristrack/runtime/signals.py
+++ b/iristrack/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Signals as bytes on a socket, so that the event loop sees them like anything else."""
+"""Signals as bytes on a socket, so that the event loop can poll for them."""
 
 from __future__ import annotations
 
@@ -11,32 +11,34 @@
 
 
 def catch_signals() -> socket.socket:
-    """Have the signals that the program lives through come as bytes, each its own number, on a socket.
+    """Return a socket on which each signal of `CAUGHT` arrives as one byte, the signal number.
 
-    Python runs signal handlers between bytecodes, and `poll` goes on after them: the socket ends its wait.
-    What comes before the loop runs waits there; a SIGHUP must never end the process.
+    Python runs signal handlers between bytecodes and then resumes `poll`, so a handler alone would not end the wait;
+    a readable socket does. Signals that arrive before the loop runs stay in the socket. SIGHUP must never end the
+    process.
     """
-    woken, waker = socket.socketpair()
-    woken.setblocking(False)
-    waker.setblocking(False)
-    signal.set_wakeup_fd(waker.detach(), warn_on_full_buffer=False)
+    receiver, sender = socket.socketpair()
+    receiver.setblocking(False)
+    sender.setblocking(False)
+    signal.set_wakeup_fd(sender.detach(), warn_on_full_buffer=False)
     for number in CAUGHT:
         signal.signal(number, lambda *_: None)
-    return woken
+    return receiver
 
 
 @contextmanager
 def caught_signals() -> Iterator[socket.socket]:
-    """`catch_signals` while the block runs; behind it the signals are ignored until the process is gone.
+    """Run `catch_signals` for the block; after the block the signals are ignored until the process has ended.
 
-    Where a handler is set, Python gives the signal its default back while the interpreter ends, and a signal in these
-    last milliseconds would end a process that has done its work with another status than 0. Ignored ones stay ignored.
+    Python restores the default action of signals that have a handler while the interpreter shuts down. A signal in
+    these last milliseconds would end a process that finished its work with a status other than 0. Ignored signals stay
+    ignored.
     """
-    woken = catch_signals()
+    receiver = catch_signals()
     try:
-        yield woken
+        yield receiver
     finally:
-        # Blocked first, so that none is noted for a handler that is gone when its turn comes, which Python reports.
+        # Blocked first: a signal recorded just before its handler is removed would make Python report an error.
         signal.pthread_sigmask(signal.SIG_BLOCK, CAUGHT)
         for number in CAUGHT:
             signal.signal(number, signal.SIG_IGN)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Lines of the log in service: the order of their pairs, and values that would not be read as one word."""
+"""Lines of the structured log: the order of the pairs, and quoting of values that would not be read as one word."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return only
 
 
-def test_level_event_and_what_is_bound_come_first() -> None:
+def test_level_event_and_bound_fields_come_first() -> None:
     assert line(ms=3, server="i-1") == "level=info event=taken node=edge-1 ms=3 server=i-1\n"
 
 
@@ -33,11 +33,11 @@
         (1.5, "1.5"),
     ],
 )
-def test_a_value_stays_one_value(value: object, text: str) -> None:
+def test_values_are_quoted_and_escaped(value: object, text: str) -> None:
     assert line(field=value) == f"level=info event=taken node=edge-1 field={text}\n"
 
 
-def test_an_exception_is_told_in_the_line_of_its_event() -> None:
+def test_an_exception_is_logged_in_the_line_of_its_event() -> None:
     lines: list[str] = []
     try:
         raise KeyError("lost")
--- a/tests/test_runtime_sharing.py
+++ b/tests/test_runtime_sharing.py
@@ -1,4 +1,4 @@
-"""The loop that all programs share reports failures with the exception under way, and each program logs them."""
+"""The event loop reports failures while their exception is being handled, and each program logs them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Planted(Exception):
-    """Raised by what the loop runs."""
+    """Raised by the tasks and callbacks of the tests."""
 
 
 def fail() -> None:
@@ -26,16 +26,16 @@
 
 
 def run_failures(scheduler: Scheduler) -> None:
-    """A task, a timer and a descriptor's call that fail, then the end."""
+    """Run a failing task, a failing timer and a failing descriptor callback, then stop the loop."""
     ours, theirs = socket.socketpair()
 
     def readable() -> None:
         scheduler.unwatch(ours.fileno())
         fail()
 
-    def look() -> None:
+    def stop_when_unwatched() -> None:
         if ours.fileno() in scheduler._waiting:
-            scheduler.call_at(clock(), look)
+            scheduler.call_at(clock(), stop_when_unwatched)
         else:
             scheduler.stop()
 
@@ -43,26 +43,26 @@
     scheduler.call_at(clock(), fail)
     scheduler.watch(ours.fileno(), readable)
     theirs.send(b"x")
-    scheduler.call_at(clock() + 1, look)
+    scheduler.call_at(clock() + 1, stop_when_unwatched)
     scheduler.run()
 
 
-def test_failures_are_reported_with_the_exception_under_way() -> None:
+def test_failures_are_reported_while_their_exception_is_handled() -> None:
     seen: list[tuple[str, type | None]] = []
     run_failures(Scheduler(lambda text: seen.append((text, sys.exc_info()[0]))))
     assert len(seen) == 3
-    assert all(fault is Planted for _, fault in seen)
+    assert all(exception is Planted for _, exception in seen)
     assert any("planted task" in text for text, _ in seen)
 
 
 def test_without_a_hook_failures_go_to_standard_error(capsys) -> None:
     run_failures(Scheduler())
-    told = capsys.readouterr().err
-    assert told.count("Planted: planted") == 3
-    assert told.count("Traceback") == 3
+    output = capsys.readouterr().err
+    assert output.count("Planted: planted") == 3
+    assert output.count("Traceback") == 3
 
 
-def test_what_fails_leaves_the_others_alone() -> None:
+def test_a_failure_does_not_affect_other_tasks() -> None:
     noted: list[str] = []
     scheduler = Scheduler(noted.append)
     scheduler.spawn("planted task", fail)
@@ -70,11 +70,11 @@
     scheduler.call_at(clock(), fail)
     scheduler.call_at(clock(), scheduler.stop)
     scheduler.run()
-    assert noted == ["task planted task failed", "sound", "a call of the loop failed"]
+    assert noted == ["task planted task failed", "sound", "event loop callback failed"]
 
 
 class Log:
-    """Keeps what is logged, and the exception under way where a failure is."""
+    """Records logged failures and the exception being handled."""
 
     def __init__(self) -> None:
         self.failures: list[tuple[str, type | None]] = []
@@ -100,16 +100,16 @@
 
 
 @pytest.mark.parametrize("program", [DataPlane, ControlPlane])
-def test_both_programs_log_what_fails_in_their_loop(tmp_path: Path, program: type) -> None:
+def test_both_programs_log_failures_in_their_loop(tmp_path: Path, program: type) -> None:
     log = Log()
-    made = program(settings(tmp_path, "any"), log, lambda: None)
-    run_failures(made.scheduler)
+    created = program(settings(tmp_path, "any"), log, lambda: None)
+    run_failures(created.scheduler)
     assert len(log.failures) == 3
-    assert all(fault is Planted for _, fault in log.failures)
+    assert all(exception is Planted for _, exception in log.failures)
 
 
-def test_the_daemon_logs_what_fails_in_its_loop(tmp_path: Path, monkeypatch) -> None:
-    """The daemon is run up to its sidecar, which takes the loop; what fails there must reach the log with its trace."""
+def test_the_daemon_logs_failures_in_its_loop(tmp_path: Path, monkeypatch) -> None:
+    """The daemon runs until it creates its sidecar; failures in the loop from there on are logged with a traceback."""
     lines: list[str] = []
     sink = logger.add(lines.append, format="{message}")
 
@@ -132,6 +132,6 @@
             daemon._serve(Config(), ours)
     finally:
         logger.remove(sink)
-    told = "".join(lines)
-    assert told.count("Planted: planted") == 3
-    assert "planted task" in told
+    output = "".join(lines)
+    assert output.count("Planted: planted") == 3
+    assert "planted task" in output
