--- a/iristrack/http1/connection.py
+++ b/iristrack/http1/connection.py
@@ -1,4 +1,4 @@
-"""Client-side HTTP/1.1 connections: opening one, and reading whole answers from it."""
+"""Client-side HTTP/1.1 connections: opening a connection and reading responses from it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from iristrack.http1 import messages as http
 from iristrack.runtime.scheduler import READ, WRITE, Scheduler, clock, send_all
 
-RECEIVE = 64 * 1024
+RECEIVE = 64 * 1024  # maximum bytes of one receive call
 Address = tuple[str, int]
 
 
 class Link:
-    """One client-side connection, and the reader of its answers."""
+    """A client-side connection and the reader of its responses."""
 
     __slots__ = ("fd", "idle_since", "keep_ns", "reader", "scheduler", "sock", "target")
 
@@ -26,21 +26,21 @@
         limit: int = http.MAX_BODY_BYTES,
         whole: int = http.MAX_BUFFERED_BODY_BYTES,
     ) -> None:
-        """`target` is whatever the caller keeps of the peer, None for a connection of no pool."""
+        """`target` is the caller's own record of the peer, or None for a connection outside a pool."""
         self.scheduler = scheduler
         self.sock = sock
         self.fd = sock.fileno()
         self.target = target
         self.reader = http.Reader(response=True, limit=limit, whole=whole)
         self.idle_since = 0
-        self.keep_ns: int | None = None  # how long the peer said that it keeps the connection idle
+        self.keep_ns: int | None = None  # idle time after which the peer closes, as it announced
 
     def write(self, data: bytes, deadline: int) -> None:
-        """Write it all."""
+        """Send all of `data`."""
         send_all(self.sock, data, lambda: self.scheduler.wait(self.fd, WRITE, deadline))
 
     def read(self, deadline: int, hold_ns: int = 0) -> http.Message | None:
-        """The next message; None where it is a long one, or after `hold_ns` one that does not tell its length."""
+        """Return the next message, or None if it is long or has no declared length and took longer than `hold_ns`."""
         reader, until = self.reader, deadline
         while True:
             try:
@@ -59,12 +59,12 @@
             if reader.long:
                 return None
             if not data:
-                raise ConnectionResetError("closed before an answer")
+                raise ConnectionResetError("connection closed before a response")
             if hold_ns and until == deadline and reader.unmeasured and reader.head.status == 200:
                 until = min(deadline, clock() + hold_ns)
 
     def quiet(self) -> bool:
-        """Is there neither an end nor unasked bytes on it?"""
+        """Return whether an idle connection is usable: not closed by the peer and without unsolicited bytes."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -75,7 +75,7 @@
 
 
 def connect(scheduler: Scheduler, address: Address, deadline: int) -> socket.socket:
-    """A connection that is up; raises `OSError` where it does not come up in time."""
+    """Open a TCP connection; raises `OSError` if it is not established by the deadline."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     try:
--- a/iristrack/http1/fetching.py
+++ b/iristrack/http1/fetching.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 call to another process whose answer is kept whole, over a connection that may be kept."""
+"""HTTP/1.1 client that buffers whole responses and reuses its connection."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 from iristrack.http1.connection import Address, Link, connect
 from iristrack.runtime.scheduler import Scheduler
 
-MOST_ANSWER = 32 << 20
+MAX_RESPONSE_BYTES = 32 << 20
 
 
 class HttpClient:
-    """Calls one address, one call at a time, and keeps its connection between calls."""
+    """Sends requests to one address, one at a time, and keeps its connection open between them."""
 
     def __init__(self, scheduler: Scheduler, address: Address) -> None:
-        """Nothing is opened before the first call."""
+        """Create a client; no connection is opened before the first request."""
         self.scheduler = scheduler
         self.address = address
         self._link: Link | None = None
 
     def connect(self, deadline: int) -> None:
-        """Open a connection for the next call, if none is kept; raises `OSError`."""
+        """Open a connection for the next request unless one is open; raises `OSError`."""
         if self._link is None:
             sock = connect(self.scheduler, self.address, deadline)
-            self._link = Link(self.scheduler, sock, None, limit=MOST_ANSWER, whole=MOST_ANSWER)
+            self._link = Link(self.scheduler, sock, None, limit=MAX_RESPONSE_BYTES, whole=MAX_RESPONSE_BYTES)
 
     def call(self, method: bytes, target: bytes, lines: bytes, body: bytes, deadline: int) -> http.Message:
-        """The whole answer. Raises `OSError`, `http.Malformed` or `http.Truncated` where there is none in time."""
+        """Send a request and return the whole response.
+
+        Raises `OSError`, `http.Malformed` or `http.Truncated` if there is none by the deadline.
+        """
         link = self._link
         self._link = None
         if link is not None and not link.quiet():
@@ -39,7 +42,7 @@
             link.write(http.request(method, target, host + lines, body), deadline)
             message = link.read(deadline)
             if message is None:
-                raise ConnectionResetError("an answer without an end")
+                raise ConnectionResetError("response too long to buffer")
         except BaseException:
             link.sock.close()
             raise
@@ -50,7 +53,7 @@
         return message
 
     def close(self) -> None:
-        """Close the kept connection."""
+        """Close the idle connection, if any."""
         if self._link is not None:
             self._link.sock.close()
             self._link = None
--- a/iristrack/http1/messages.py
+++ b/iristrack/http1/messages.py
@@ -1,7 +1,9 @@
 """HTTP/1.1 parsers and writers: functions of bytes, without sockets, time or the platform's header names.
 
-This file owns what is a well-formed message and where it ends. It must never read or write a socket, and it
-knows nothing of requests, classes or pool servers: the platform's headers belong to the front.
+This module decides whether a message is well-formed and where it ends. It never reads or writes a socket and does not
+depend on requests, classes or pool servers; the platform's headers are handled by the front end.
+
+The reasons of `Malformed` are sent to clients in the bodies of error responses.
 """
 
 from __future__ import annotations
@@ -11,11 +13,11 @@
 from urllib.parse import quote
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # of a message that is kept whole
-MAX_BODY_BYTES = 32 << 20  # of a message that is passed on in pieces
-MAX_CHUNK_LINE = 4096  # with its extensions
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # of a message that is buffered whole
+MAX_BODY_BYTES = 32 << 20  # of a message that is streamed
+MAX_CHUNK_LINE_BYTES = 4096  # including chunk extensions
 LAST_CHUNK = b"0\r\n\r\n"
-MAX_INTERIM = 16  # 1xx answers ahead of one final answer
+MAX_INTERIM_COUNT = 16  # 1xx responses before one final response
 
 _TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
 _REQUEST_LINE = re.compile(rb"(" + _TOKEN + rb") ([\x21-\x7e]+) HTTP/1\.([01])\Z")
@@ -31,7 +33,7 @@
     }
 )  # fmt: skip
 
-_PLAIN_TEXT = "".join(chr(code) for code in range(0x21, 0x7F) if chr(code) != "%")
+_UNESCAPED = "".join(chr(code) for code in range(0x21, 0x7F) if chr(code) != "%")
 
 REASONS = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
@@ -43,10 +45,10 @@
 
 
 class Malformed(Exception):
-    """Bytes that are no acceptable message; `status` is what a server answers to them."""
+    """The bytes are not an acceptable message; `status` is the status of the server's error response."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """`reason` is for people."""
+        """`reason` is a text for people."""
         super().__init__(reason)
         self.status = status
 
@@ -57,34 +59,38 @@
 
 @dataclass(slots=True)
 class Head:
-    """The start of a message: its lines as they came, and its fields by lower-case name."""
+    """The start line and header fields of a message; the fields are keyed by lower-case name."""
 
-    raw: bytes  # all header lines, each with its line end, without the first line
+    raw: bytes  # all header lines as received, each with its line end, without the start line
     fields: dict[bytes, bytes]
-    repeated: frozenset[bytes]
+    repeated: frozenset[bytes]  # names that occur more than once
     spans: list[tuple[bytes, int, int]]  # name, start and end of each line in `raw`
-    version: int  # the minor one
+    version: int  # minor HTTP version
     method: bytes = b""
     target: bytes = b""
     status: int = 0
 
     @property
     def keeps_alive(self) -> bool:
-        """Does the sender mean to go on using the connection?"""
-        told = self.fields.get(b"connection")
-        if told is None:
+        """Return whether the sender keeps the connection open after this message."""
+        connection = self.fields.get(b"connection")
+        if connection is None:
             return self.version == 1
-        options = [o.strip().lower() for o in told.split(b",")]
+        options = [option.strip().lower() for option in connection.split(b",")]
         if b"close" in options:
             return False
         return self.version == 1 or b"keep-alive" in options
 
     def passed_on(self, without: frozenset[bytes]) -> bytes:
-        """The lines for the next hop, as the bytes that came: all but `without` and hop-by-hop ones."""
-        named = self.fields.get(b"connection", b"").lower()
+        """Return the header lines for the next hop as received, except `without` and hop-by-hop fields."""
+        connection = self.fields.get(b"connection", b"").lower()
         parts, at = [], 0
         for name, start, end in self.spans:
-            if name in _HOP_BY_HOP or name in without or (named and name in re.split(rb"[ \t,]+", named)):
+            if (
+                name in _HOP_BY_HOP
+                or name in without
+                or (connection and name in re.split(rb"[ \t,]+", connection))
+            ):
                 parts.append(self.raw[at:start])
                 at = end
         parts.append(self.raw[at:])
@@ -93,14 +99,14 @@
 
 @dataclass(slots=True)
 class Message:
-    """A whole message."""
+    """A complete message."""
 
     head: Head
     body: bytes
 
 
 def parse_head(block: bytes, response: bool) -> Head:
-    """Read a message's first lines: `block` ends before the empty line, with the last line's end."""
+    """Parse a message's start line and header lines; `block` ends with the line end of the last header line."""
     line, _, raw = block.partition(b"\r\n")
     head = Head(raw, {}, frozenset(), [], 1)
     if response:
@@ -134,11 +140,11 @@
 
 
 def body_length(head: Head, limit: int) -> int | None:
-    """How long the body is; None when it comes in chunks, -1 when only the connection's end tells."""
+    """Return the length of the body; None if it is chunked, -1 if it extends to the end of the connection."""
     coding = head.fields.get(b"transfer-encoding")
     length = head.fields.get(b"content-length")
     if coding is not None:
-        # Guards against request smuggling: two parties must never see a message end at different places.
+        # Prevents request smuggling: two parties must never disagree about where a message ends.
         if length is not None or b"transfer-encoding" in head.repeated:
             raise Malformed(400, "Transfer-Encoding with Content-Length, or twice")
         if coding.lower() != b"chunked" or head.version == 0:
@@ -157,10 +163,10 @@
 
 
 class Reader:
-    """Takes bytes as they come and gives whole messages; the rest of the bytes stays for the next one.
+    """Incremental parser: takes bytes as received and returns complete messages; extra bytes stay for the next one.
 
-    A message whose body is longer than `whole` is `long`: `feed` gives nothing for it. Its body is had by `take` in
-    the pieces that came, until it is `done`; `finish` goes on to the next message.
+    A message whose body is longer than `whole` is `long`: `feed` returns None for it. Its body is read with `take`, in
+    the pieces that have arrived, until it is `done`; `finish` goes on to the next message.
     """
 
     __slots__ = (
@@ -174,7 +180,7 @@
         limit: int = MAX_BUFFERED_BODY_BYTES,
         whole: int = MAX_BUFFERED_BODY_BYTES,
     ) -> None:
-        """For requests, or for responses; a body may hold `limit` bytes, and `whole` of them are kept."""
+        """Parse requests, or responses; a body may have `limit` bytes, and one of up to `whole` bytes is buffered."""
         self._response = response
         self._limit = limit
         self._whole = whole
@@ -184,44 +190,46 @@
         self._reset()
 
     def bound(self, limit: int, most_head: int) -> None:
-        """Bound the next message: its body and its head, in bytes; a body under way keeps its own bound."""
+        """Set the limits of the next message's body and head, in bytes; a body being read keeps its own limit."""
         self._limit = self._whole = limit
         self._most_head = most_head
 
     def _reset(self) -> None:
-        self.head: Head | None = None  # of the message whose body is still to come
-        self.done = False  # has all of the body come?
+        self.head: Head | None = None  # of the message whose body is being read
+        self.done = False  # whether the whole body has arrived
         self.received = 0  # bytes of the body so far
-        self._left: int | None = 0  # None: chunks; -1: until the connection ends
+        self._left: int | None = 0  # bytes of the body to come; None: chunked; -1: until the connection ends
         self._body = bytearray()
-        self._at = 0  # where the search for the head's end goes on, then what is left of a chunk or trailer
+        # While the head is read: where the search for its end continues. In a chunked body: the remaining bytes of the
+        # chunk, then the bytes of the trailer so far.
+        self._at = 0
         self._state = "size"  # of a chunked body: size, data, end (of a chunk) or trailer
         self._streamed = False
 
     @property
     def empty(self) -> bool:
-        """Is it between messages, with nothing left over?"""
+        """Return whether the reader is between messages and has no unread bytes."""
         return self.head is None and not self._buffer
 
     @property
     def long(self) -> bool:
-        """Is this message's body one that is not kept whole?"""
+        """Return whether the current message's body is too long to be buffered."""
         return self.head is not None and (
             self._streamed or len(self._body) > self._whole or (self._left or 0) + self.received > self._whole
         )
 
     @property
     def length(self) -> int | None:
-        """How many bytes the body has in all, where its head tells."""
+        """Return the total length of the body in bytes, or None if the head does not declare it."""
         return None if self._left is None or self._left < 0 else self._left + self.received
 
     @property
     def unmeasured(self) -> bool:
-        """Is a body under way whose length its head does not tell?"""
+        """Return whether a body without a declared length is being read."""
         return self.head is not None and self.length is None
 
     def feed(self, data: bytes) -> Message | None:
-        """Take bytes (none: look at those that were left over); a message once one is whole."""
+        """Add bytes and return a message once one is complete; without bytes, parse those left over."""
         self._buffer += data
         while True:
             if self.head is None and not self._take_head():
@@ -235,35 +243,38 @@
             if not 100 <= message.head.status < 200:
                 self._interim = 0
                 return message
-            # Guards against answers that never come to their end, and against bytes that are HTTP no more.
+            # Bounds interim responses that never lead to a final one, and rejects a switch to another protocol.
             self._interim += 1
-            if self._interim > MAX_INTERIM or message.head.status == 101:
+            if self._interim > MAX_INTERIM_COUNT or message.head.status == 101:
                 raise Malformed(502, "too many interim answers, or another protocol")
 
     def take(self) -> bytes:
-        """What has come of the body since the last call; the message is `long` from now on."""
+        """Return the bytes of the body that arrived since the last call; the message is `long` from now on."""
         self._streamed = True
         data = bytes(self._body)
         self._body.clear()
         return data
 
     def finish(self) -> None:
-        """A long message is done: the next one begins."""
+        """End a long message that is done and start the next one."""
         self._reset()
         self._interim = 0
 
     def end(self) -> Message | None:
-        """The connection ended: the message that this completes, if any; raises `Truncated` inside one."""
+        """Handle the end of the connection: return the message that it completes, if any.
+
+        Raises `Truncated` inside a message.
+        """
         if self.head is not None and self._left == -1:
             self.done = True
             return None if self.long else self.feed(b"")
         if not self.empty and not self.done:
-            raise Truncated("the connection ended inside a message")
+            raise Truncated("connection closed inside a message")
         return None
 
     def _take_head(self) -> bool:
         buffer = self._buffer
-        while not self._response and buffer[:2] == b"\r\n":  # an empty line before a request is allowed
+        while not self._response and buffer[:2] == b"\r\n":  # RFC 9112 allows empty lines before a request
             del buffer[:2]
         end = buffer.find(b"\r\n\r\n", max(0, self._at - 3))
         if end < 0 or end > self._most_head:
@@ -279,7 +290,7 @@
         return True
 
     def _advance(self) -> None:
-        """Move what has come of the body out of its framing."""
+        """Move the bytes of the body that have arrived out of their framing."""
         if self._left is None:
             self._take_chunks()
             return
@@ -291,8 +302,8 @@
         self._left -= self._move(self._left)
         self.done = self._left == 0
 
-    def _move(self, most: int) -> int:
-        size = min(most, len(self._buffer))
+    def _move(self, max_bytes: int) -> int:
+        size = min(max_bytes, len(self._buffer))
         if size:
             self._body += self._buffer[:size]
             del self._buffer[:size]
@@ -301,8 +312,8 @@
 
     def _line(self) -> bytes | None:
         end = self._buffer.find(b"\r\n")
-        if end < 0 or end > MAX_CHUNK_LINE:
-            if len(self._buffer) > MAX_CHUNK_LINE:
+        if end < 0 or end > MAX_CHUNK_LINE_BYTES:
+            if len(self._buffer) > MAX_CHUNK_LINE_BYTES:
                 raise Malformed(400, "a chunk's line is too long")
             return None
         line = bytes(self._buffer[:end])
@@ -310,7 +321,7 @@
         return line
 
     def _take_chunks(self) -> None:
-        """Move what has come of the chunks to the body; done once the last one and the trailer are there."""
+        """Move the chunk data that has arrived to the body; done after the last chunk and the trailer."""
         while True:
             if self._state == "data":
                 self._at -= self._move(self._at)
@@ -345,32 +356,33 @@
 
 
 def header_text(text: str) -> bytes:
-    """Any text as a header's value, different texts as different values: what could end a line is percent-encoded.
+    """Return a text as a header value: characters that could end a line are percent-encoded.
 
-    Spaces inside stay; at the ends they would not count as part of the value.
+    Different texts give different values. Spaces stay, except in a text with leading or trailing spaces: those would
+    not count as part of the value.
     """
-    safe = _PLAIN_TEXT + " " if text == text.strip(" ") else _PLAIN_TEXT
+    safe = _UNESCAPED + " " if text == text.strip(" ") else _UNESCAPED
     return quote(text, safe=safe).encode("ascii")
 
 
 def framing(length: int | None) -> bytes:
-    """The header line that tells where a body ends: a length, or chunks."""
+    """Return the header line that frames a body: its length, or chunked coding."""
     return b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk; `data` is not empty."""
+    """Return one chunk; `data` must not be empty."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def request(method: bytes, target: bytes, lines: bytes, body: bytes = b"") -> bytes:
-    """A request; `lines` are whole header lines. GET without a body carries no length."""
+    """Return a request; `lines` are header lines with line ends. GET and HEAD without a body have no Content-Length."""
     length = b"Content-Length: %d\r\n" % len(body) if body or method not in (b"GET", b"HEAD") else b""
     return b"".join((method, b" ", target, b" HTTP/1.1\r\n", lines, length, b"\r\n", body))
 
 
 def response(status: int, body: bytes = b"", lines: bytes = b"", close: bool = False) -> bytes:
-    """A response; `lines` are whole header lines."""
+    """Return a response; `lines` are header lines with line ends."""
     closing = b"Connection: close\r\n" if close else b""
     reason = REASONS.get(status, b"Unknown")
     return b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
--- a/iristrack/http1/serving.py
+++ b/iristrack/http1/serving.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for calls whose requests and answers are kept whole: readiness and the operator's API."""
+"""Small HTTP/1.1 server that buffers whole requests and responses; serves readiness and the operators' API."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 NS_PER_S = 1_000_000_000
 IDLE_NS = 20 * NS_PER_S
-REQUEST_NS = 10 * NS_PER_S  # a request must be whole so long after its first byte
-WRITE_NS = 5 * NS_PER_S
+REQUEST_NS = 10 * NS_PER_S  # time-out of a request from its first byte to its last
+WRITE_NS = 5 * NS_PER_S  # time-out of a wait for a writable connection
 RETRY_ACCEPT_NS = NS_PER_S // 20
 BACKLOG = 512
-ACCEPTS = 32  # connections taken in one turn
-MOST_CONNECTIONS = 512
+MAX_ACCEPTS_PER_TURN = 32
+MAX_CONNECTIONS = 512
 JSON = b"Content-Type: application/json\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """What a handler answers; `lines` are whole header lines."""
+    """The response of a handler; `lines` are header lines with line ends."""
 
     status: int
     body: bytes = b""
@@ -34,7 +34,7 @@
 
 
 class HttpServer:
-    """Listens at one address and has `handler` answer each request in a task of its own connection."""
+    """Listens at one address and calls `handler` for each request; each connection has its own task."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
         address: Address,
         handler: Handler,
         most_body: int,
-        most_connections: int = MOST_CONNECTIONS,
+        most_connections: int = MAX_CONNECTIONS,
     ) -> None:
-        """`most_body` bounds a request's body in bytes; raises `OSError` where the address cannot be had."""
+        """`most_body` is the limit of a request's body in bytes; raises `OSError` if the address cannot be bound."""
         self.scheduler = scheduler
         self.handler = handler
         self.most_body = most_body
@@ -55,7 +55,7 @@
         self._watch()
 
     def stop(self) -> None:
-        """Take no further connection; those open end with their next answer."""
+        """Accept no more connections; open ones are closed after their next response."""
         self.stopping = True
         if self._listener is not None:
             self.scheduler.unwatch(self._listener.fileno())
@@ -67,7 +67,7 @@
             self.scheduler.watch(self._listener.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if self._listener is None:
                 return
             try:
@@ -75,7 +75,7 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError:
-                # No descriptor is left: an accept that fails at once would spin the loop.
+                # No descriptor is left: retrying at once would keep the event loop busy.
                 self.scheduler.unwatch(self._listener.fileno())
                 self.scheduler.call_at(clock() + RETRY_ACCEPT_NS, self._watch)
                 return
@@ -93,17 +93,17 @@
             while self._answer_next(sock, reader):
                 pass
         except (OSError, http.Truncated, Cancelled):
-            pass  # the caller left, or is too slow
+            pass  # the client closed the connection or is too slow
         finally:
             sock.close()
             self.connections -= 1
 
     def _answer_next(self, sock: socket.socket, reader: http.Reader) -> bool:
-        """Answer one request; false where the connection ends with it."""
+        """Serve one request; return whether the connection stays open."""
         try:
             message = self._read(sock, reader)
-        except http.Malformed as fault:
-            self._write(sock, http.response(fault.status, str(fault).encode(), b"", close=True))
+        except http.Malformed as error:
+            self._write(sock, http.response(error.status, str(error).encode(), b"", close=True))
             return False
         if message is None:
             return False
@@ -118,8 +118,8 @@
         except (Cancelled, OSError):
             raise
         except Exception:
-            # Guards the caller: whatever goes wrong in one call is an answer to it, and the next one is served.
-            self.scheduler.report_failure("a call failed")
+            # An exception in one request is answered with status 500, and the connection serves the next request.
+            self.scheduler.report_failure("HTTP request failed")
             return Response(500, b'{"message":"internal error"}')
 
     def _read(self, sock: socket.socket, reader: http.Reader) -> http.Message | None:
--- a/tests/http1/calls.py
+++ b/tests/http1/calls.py
@@ -1,4 +1,4 @@
-"""A loop of this process with callers' and servers' sockets on loopback."""
+"""An event loop of the test process with client and server sockets on loopback."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from iristrack.http1.connection import connect
 from iristrack.runtime.scheduler import READ, Scheduler, clock, open_listener
 
-PATIENCE_NS = 10**10  # only a failing test waits so long
+TIMEOUT_NS = 10**10  # reached only by a failing test
 LOOPBACK = ("127.0.0.1", 0)
 
 
@@ -20,7 +20,7 @@
         self.scheduler = Scheduler(lambda text: self.failures.append(f"{text}\n{traceback.format_exc()}"))
 
     def run(self, *calls: Callable[[], object]) -> list[Any]:
-        """Run the calls as tasks until all have ended; what they returned."""
+        """Run the calls as tasks until all have ended; return their results."""
         results: list[Any] = [None] * len(calls)
         left = set(range(len(calls)))
 
@@ -35,11 +35,11 @@
         for number in range(len(calls)):
             self.scheduler.spawn(f"call {number}", run_call, number)
         self.scheduler._stopped = False
-        guard = self.scheduler.call_at(clock() + PATIENCE_NS, self.scheduler.stop)
+        timeout = self.scheduler.call_at(clock() + TIMEOUT_NS, self.scheduler.stop)
         self.scheduler.run()
-        guard.cancel()
+        timeout.cancel()
         assert not self.failures, "\n".join(self.failures)
-        assert not left, "it did not come about"
+        assert not left, f"calls {sorted(left)} did not end in time"
         return results
 
     def yield_turn(self) -> None:
@@ -47,7 +47,7 @@
         self.scheduler.wait(-1, 0, None)
 
     def turn_while(self, holds: Callable[[], object]) -> None:
-        """Within a task: let others run while it holds."""
+        """Within a task: let other tasks run while the condition holds."""
         while holds():
             self.yield_turn()
 
@@ -57,17 +57,17 @@
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self.loop = loop
-        self.sock = connect(loop.scheduler, address, clock() + PATIENCE_NS)
+        self.sock = connect(loop.scheduler, address, clock() + TIMEOUT_NS)
         self.reader = http.Reader(response=True, limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
 
     def send(self, data: bytes) -> None:
         assert self.sock.send(data) == len(data)
 
     def receive(self) -> http.Message | None:
-        """The next answer; None where the connection ends instead."""
+        """Return the next response; None if the connection ends instead."""
         message = None if self.reader.empty else self.reader.feed(b"")
         while message is None:
-            self.loop.scheduler.wait(self.sock.fileno(), READ, clock() + PATIENCE_NS)
+            self.loop.scheduler.wait(self.sock.fileno(), READ, clock() + TIMEOUT_NS)
             try:
                 data = self.sock.recv(65536)
             except ConnectionResetError:
@@ -82,7 +82,7 @@
 
 
 class StandInServer:
-    """Hands each connection's socket to `serve`, in a task."""
+    """Calls `serve` with each accepted socket, in a task."""
 
     def __init__(self, loop: Loop, serve: Callable[[Any], None]) -> None:
         self.loop = loop
@@ -108,11 +108,11 @@
             sock.close()
 
     def request(self, sock) -> http.Message:
-        """The next request of a connection."""
+        """Return the next request of a connection."""
         reader = http.Reader()
         message = None
         while message is None:
-            self.loop.scheduler.wait(sock.fileno(), READ, clock() + PATIENCE_NS)
+            self.loop.scheduler.wait(sock.fileno(), READ, clock() + TIMEOUT_NS)
             data = sock.recv(65536)
             if not data:
                 raise ConnectionResetError
--- a/tests/http1/test_fetching.py
+++ b/tests/http1/test_fetching.py
@@ -1,3 +1,5 @@
+"""HttpClient: reuse of its connection, incomplete and malformed responses, and time-outs."""
+
 from __future__ import annotations
 
 import pytest
@@ -5,21 +7,21 @@
 from iristrack.http1 import messages as http
 from iristrack.http1.fetching import HttpClient
 from iristrack.runtime.scheduler import clock
-from tests.http1.calls import PATIENCE_NS, Loop, StandInServer
+from tests.http1.calls import TIMEOUT_NS, Loop, StandInServer
 
 SHORT_NS = 20_000_000
 
 
-class Called:
-    """A caller and the server that it calls, in one loop."""
+class ClientAndServer:
+    """An HTTP client and its server in one event loop."""
 
     def __init__(self, *answers: bytes | None, end: bool = False) -> None:
-        """Each connection gives these answers, None: silence; `end`: it is closed behind the last one."""
+        """The server sends these responses (None: nothing); with `end` it closes the connection after the last one."""
         self.loop = Loop()
         self.answers = list(answers)
         self.end = end
         self.server = StandInServer(self.loop, self._serve)
-        self.caller = HttpClient(self.loop.scheduler, self.server.address)
+        self.client = HttpClient(self.loop.scheduler, self.server.address)
 
     def _serve(self, sock) -> None:
         while self.answers:
@@ -30,32 +32,32 @@
         if not self.end:
             self.server.request(sock)
 
-    def call(self, target: str = "/", ns: int = PATIENCE_NS) -> http.Message:
+    def call(self, target: str = "/", ns: int = TIMEOUT_NS) -> http.Message:
         deadline = clock() + ns
-        return self.caller.call(b"GET", target.encode(), b"X-A: 1\r\n", b"", deadline)
+        return self.client.call(b"GET", target.encode(), b"X-A: 1\r\n", b"", deadline)
 
-    def run(self, *targets: str, ns: int = PATIENCE_NS) -> list[bytes]:
+    def run(self, *targets: str, ns: int = TIMEOUT_NS) -> list[bytes]:
         (bodies,) = self.loop.run(lambda: [self.call(target, ns).body for target in targets])
         return bodies
 
-    def fails(self, fault, ns: int = PATIENCE_NS) -> None:
+    def fails(self, error, ns: int = TIMEOUT_NS) -> None:
         def call() -> None:
-            with pytest.raises(fault):
+            with pytest.raises(error):
                 self.call(ns=ns)
 
         self.loop.run(call)
 
 
-def test_one_connection_carries_call_after_call() -> None:
-    called = Called(http.response(200, b"1"), http.response(404, b"2"), http.response(200, b""))
-    assert called.run("/a", "/b", "/c") == [b"1", b"2", b""]
-    assert called.server.opened == 1
-    heads = [message.head for message in called.server.requests]
+def test_one_connection_carries_several_requests() -> None:
+    pair = ClientAndServer(http.response(200, b"1"), http.response(404, b"2"), http.response(200, b""))
+    assert pair.run("/a", "/b", "/c") == [b"1", b"2", b""]
+    assert pair.server.opened == 1
+    heads = [message.head for message in pair.server.requests]
     assert [head.target for head in heads] == [b"/a", b"/b", b"/c"]
     assert all(head.fields[b"x-a"] == b"1" for head in heads)
     assert heads[0].fields[b"host"] == b"%b:%d" % (
-        called.server.address[0].encode(),
-        called.server.address[1],
+        pair.server.address[0].encode(),
+        pair.server.address[1],
     )
 
 
@@ -66,67 +68,69 @@
         b"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\n1",
     ],
 )
-def test_an_answer_that_ends_its_connection_is_followed_by_a_new_one(answer: bytes) -> None:
-    called = Called(answer, http.response(200, b"2"))
+def test_a_response_that_closes_its_connection_is_followed_by_a_new_one(answer: bytes) -> None:
+    pair = ClientAndServer(answer, http.response(200, b"2"))
 
     def serve(sock) -> None:
-        called.server.request(sock)
-        sock.send(called.answers.pop(0))
-        called.server.request(sock)
+        pair.server.request(sock)
+        sock.send(pair.answers.pop(0))
+        pair.server.request(sock)
 
-    called.server.serve = serve
-    assert called.run("/a", "/b") == [b"1", b"2"]
-    assert called.server.opened == 2
+    pair.server.serve = serve
+    assert pair.run("/a", "/b") == [b"1", b"2"]
+    assert pair.server.opened == 2
 
 
-def test_a_kept_connection_that_the_server_has_closed_is_not_used() -> None:
-    called = Called(http.response(200, b"1"), end=True)
-    assert called.run("/a") == [b"1"]
-    called.answers = [http.response(200, b"2")]
+def test_an_idle_connection_that_the_server_closed_is_not_reused() -> None:
+    pair = ClientAndServer(http.response(200, b"1"), end=True)
+    assert pair.run("/a") == [b"1"]
+    pair.answers = [http.response(200, b"2")]
 
     def again() -> bytes:
-        called.loop.turn_while(lambda: called.caller._link.quiet())
-        return called.call("/b").body
+        pair.loop.turn_while(lambda: pair.client._link.quiet())
+        return pair.call("/b").body
 
-    assert called.loop.run(again) == [b"2"]
-    assert called.server.opened == 2
+    assert pair.loop.run(again) == [b"2"]
+    assert pair.server.opened == 2
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_what_comes_behind_an_answer_is_not_taken_for_the_next_one(at_once: bool) -> None:
-    unasked = http.response(200, b"unasked")
-    called = Called()
+def test_unsolicited_bytes_are_not_taken_for_the_next_response(at_once: bool) -> None:
+    unsolicited = http.response(200, b"unasked")
+    pair = ClientAndServer()
     taken: list[bytes] = []
 
     def serve(sock) -> None:
-        called.server.request(sock)
-        sock.send(http.response(200, b"1") + (unasked if at_once else b""))
-        called.loop.turn_while(lambda: not taken)
+        pair.server.request(sock)
+        sock.send(http.response(200, b"1") + (unsolicited if at_once else b""))
+        pair.loop.turn_while(lambda: not taken)
         if not at_once:
-            sock.send(unasked)
-        called.server.request(sock)
+            sock.send(unsolicited)
+        pair.server.request(sock)
         sock.send(http.response(200, b"2"))
 
-    called.server.serve = serve
+    pair.server.serve = serve
 
     def calls() -> list[bytes]:
-        taken.append(called.call("/a").body)
-        called.loop.turn_while(lambda: not at_once and called.caller._link.quiet())
-        called.server.serve = lambda sock: [called.server.request(sock), sock.send(http.response(200, b"2"))]
-        return [*taken, called.call("/b").body]
+        taken.append(pair.call("/a").body)
+        pair.loop.turn_while(lambda: not at_once and pair.client._link.quiet())
+        pair.server.serve = lambda sock: [pair.server.request(sock), sock.send(http.response(200, b"2"))]
+        return [*taken, pair.call("/b").body]
 
-    assert called.loop.run(calls) == [[b"1", b"2"]]
+    assert pair.loop.run(calls) == [[b"1", b"2"]]
 
 
-def test_bodies_in_chunks_or_up_to_the_end_come_whole() -> None:
+def test_chunked_bodies_and_bodies_up_to_the_end_are_read_whole() -> None:
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     body = b"x" * 200_000
-    called = Called(chunked + http.chunk(body) + http.LAST_CHUNK, b"HTTP/1.1 200 OK\r\n\r\nrest", end=True)
-    assert called.run("/a", "/b") == [body, b"rest"]
+    pair = ClientAndServer(
+        chunked + http.chunk(body) + http.LAST_CHUNK, b"HTTP/1.1 200 OK\r\n\r\nrest", end=True
+    )
+    assert pair.run("/a", "/b") == [body, b"rest"]
 
 
 @pytest.mark.parametrize(
-    ("answer", "fault"),
+    ("answer", "error"),
     [
         (b"", OSError),
         (b"HTTP/1.1 200 O", http.Truncated),
@@ -136,46 +140,46 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", http.Malformed),
     ],
 )
-def test_no_whole_answer_is_a_failure_and_the_next_call_begins_anew(answer: bytes, fault) -> None:
-    called = Called(answer, end=True)
-    called.fails(fault)
-    called.answers = [http.response(200, b"2")]
-    assert called.run("/b") == [b"2"]
-    assert called.server.opened == 2
+def test_an_incomplete_response_is_an_error_and_the_next_request_reconnects(answer: bytes, error) -> None:
+    pair = ClientAndServer(answer, end=True)
+    pair.fails(error)
+    pair.answers = [http.response(200, b"2")]
+    assert pair.run("/b") == [b"2"]
+    assert pair.server.opened == 2
 
 
-def test_half_an_answer_ends_with_the_deadline() -> None:
-    called = Called(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", None)
-    called.fails(TimeoutError, SHORT_NS)
-    assert called.caller._link is None
+def test_an_incomplete_response_times_out() -> None:
+    pair = ClientAndServer(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", None)
+    pair.fails(TimeoutError, SHORT_NS)
+    assert pair.client._link is None
 
 
-def test_a_silent_server_ends_with_the_deadline_and_its_connection_with_it() -> None:
+def test_a_silent_server_times_out_and_its_connection_is_closed() -> None:
     ended = []
-    called = Called()
+    pair = ClientAndServer()
 
     def serve(sock) -> None:
-        called.server.request(sock)
-        called.server.loop.scheduler.wait(sock.fileno(), 1, None)
+        pair.server.request(sock)
+        pair.server.loop.scheduler.wait(sock.fileno(), 1, None)
         ended.append(sock.recv(1))
 
-    called.server.serve = serve
-    called.fails(TimeoutError, SHORT_NS)
-    called.loop.run(lambda: called.loop.turn_while(lambda: not ended))
+    pair.server.serve = serve
+    pair.fails(TimeoutError, SHORT_NS)
+    pair.loop.run(lambda: pair.loop.turn_while(lambda: not ended))
     assert ended == [b""]
 
 
-def test_nobody_there_is_a_failure() -> None:
-    called = Called()
-    called.server.stop()
-    called.fails(OSError)
+def test_a_refused_connection_is_an_error() -> None:
+    pair = ClientAndServer()
+    pair.server.stop()
+    pair.fails(OSError)
 
 
-def test_closing_ends_the_kept_connection() -> None:
-    called = Called(http.response(200, b"1"))
-    called.run("/a")
-    link = called.caller._link
-    called.caller.close()
-    called.caller.close()
+def test_close_closes_the_idle_connection() -> None:
+    pair = ClientAndServer(http.response(200, b"1"))
+    pair.run("/a")
+    link = pair.client._link
+    pair.client.close()
+    pair.client.close()
     assert link.sock.fileno() == -1
-    assert called.caller._link is None
+    assert pair.client._link is None
--- a/tests/http1/test_serving.py
+++ b/tests/http1/test_serving.py
@@ -1,3 +1,5 @@
+"""HttpServer: pipelining, malformed requests, limits, time-outs, failing handlers and stopping."""
+
 from __future__ import annotations
 
 import itertools
@@ -11,7 +13,7 @@
 from iristrack.http1.serving import HttpServer, Response
 from tests.http1.calls import LOOPBACK, Loop, Peer
 
-MOST_BODY = 1000
+MAX_BODY_BYTES = 1000
 SHORT_NS = 20_000_000
 
 
@@ -20,18 +22,18 @@
 
 
 class Served:
-    """A server in a loop."""
+    """An HTTP server in an event loop."""
 
     def __init__(self, handler=echo, most_connections: int = 8) -> None:
         self.loop = Loop()
-        self.server = HttpServer(self.loop.scheduler, LOOPBACK, handler, MOST_BODY, most_connections)
+        self.server = HttpServer(self.loop.scheduler, LOOPBACK, handler, MAX_BODY_BYTES, most_connections)
         self.address = self.server._listener.getsockname()
 
     def peer(self) -> Peer:
         return Peer(self.loop, self.address)
 
     def talk(self, *sent: bytes) -> list[http.Message | None]:
-        """What comes back on one connection for each of these."""
+        """Send each of these on one connection; return the response to each."""
 
         def call() -> list[http.Message | None]:
             peer, answers = self.peer(), []
@@ -55,7 +57,7 @@
     return http.request(b"POST", target.encode(), lines, body)
 
 
-def test_a_connection_serves_call_after_call(served: Served) -> None:
+def test_a_connection_serves_several_requests(served: Served) -> None:
     answers = served.talk(call("/1", b"a"), call("/2"), call("/3", b"c"))
     assert [answer.body for answer in answers] == [b"/1 a", b"/2 ", b"/3 c"]
     assert all(answer.head.keeps_alive for answer in answers)
@@ -63,15 +65,15 @@
 
 
 @given(st.integers(1, 6), st.lists(st.integers(0, 10**6), max_size=6))
-def test_pipelined_calls_are_answered_in_order_however_they_are_cut(count, places) -> None:
+def test_pipelined_requests_are_answered_in_order_however_they_are_split(count, places) -> None:
     served = Served()
     data = b"".join(call(f"/{number}", b"x" * number) for number in range(count))
     at = sorted({0, len(data), *(place % len(data) for place in places)})
 
     def converse() -> list[bytes]:
         peer = served.peer()
-        for begin, end in itertools.pairwise(at):
-            peer.send(data[begin:end])
+        for start, end in itertools.pairwise(at):
+            peer.send(data[start:end])
             served.loop.yield_turn()
         return [peer.receive().body for _ in range(count)]
 
@@ -79,14 +81,14 @@
     served.server.stop()
 
 
-def test_a_call_that_asks_for_the_end_gets_it(served: Served) -> None:
+def test_connection_close_is_honoured(served: Served) -> None:
     first, second = served.talk(call("/1", lines=b"Connection: close\r\n"), b"")
     assert first.head.status == 200
     assert not first.head.keeps_alive
     assert second is None
 
 
-def test_http_1_0_ends_with_its_answer(served: Served) -> None:
+def test_http_1_0_closes_after_the_response(served: Served) -> None:
     answer, end = served.talk(b"GET /1 HTTP/1.0\r\n\r\n", b"")
     assert (answer.body, end) == (b"/1 ", None)
     assert not answer.head.keeps_alive
@@ -100,7 +102,7 @@
         (b"GET /1 HTTP/1.1\r\nno field\r\n\r\n", 400),
         (b"GET /1 HTTP/1.1\r\nA : b\r\n\r\n", 400),
         (b"GET /1 HTTP/1.1\r\nX: " + b"x" * 20_000, 431),
-        (call("/1", b"x" * (MOST_BODY + 1)), 413),
+        (call("/1", b"x" * (MAX_BODY_BYTES + 1)), 413),
         (b"POST /1 HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
         (b"POST /1 HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx", 400),
         (b"POST /1 HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
@@ -108,7 +110,9 @@
         (b"POST /1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nsize\r\n", 400),
     ],
 )
-def test_a_bad_call_is_told_so_and_the_connection_ends(served: Served, data: bytes, status: int) -> None:
+def test_a_malformed_request_gets_an_error_response_and_the_connection_closes(
+    served: Served, data: bytes, status: int
+) -> None:
     handled = []
     served.server.handler = lambda message: handled.append(message) or Response(200)
     answer, end = served.talk(data, b"")
@@ -116,12 +120,12 @@
     assert handled == []
 
 
-def test_a_body_at_the_bound_is_taken(served: Served) -> None:
-    (answer,) = served.talk(call("/1", b"x" * MOST_BODY))
-    assert (answer.head.status, len(answer.body)) == (200, MOST_BODY + 3)
+def test_a_body_of_the_maximum_length_is_accepted(served: Served) -> None:
+    (answer,) = served.talk(call("/1", b"x" * MAX_BODY_BYTES))
+    assert (answer.head.status, len(answer.body)) == (200, MAX_BODY_BYTES + 3)
 
 
-def test_a_bad_call_behind_a_good_one_spoils_only_itself(served: Served) -> None:
+def test_a_malformed_request_does_not_affect_the_request_before_it(served: Served) -> None:
     def converse() -> list[int]:
         peer = served.peer()
         peer.send(call("/1") + b"nonsense\r\n\r\n" + call("/3"))
@@ -130,7 +134,7 @@
     assert served.loop.run(converse) == [[200, 400, None]]
 
 
-def test_a_caller_that_asks_first_is_told_to_go_on(served: Served) -> None:
+def test_expect_100_continue_gets_an_interim_response(served: Served) -> None:
     def converse() -> list[bytes]:
         peer = served.peer()
         peer.reader = http.Reader(response=True)
@@ -143,7 +147,7 @@
     assert served.loop.run(converse) == [[b"HTTP/1.1 100 Continue\r\n\r\n", b"/1 ok"]]
 
 
-def test_connections_are_bounded_and_places_are_given_back() -> None:
+def test_connections_are_limited_and_freed_places_are_reused() -> None:
     served = Served(most_connections=2)
 
     def converse() -> list[object]:
@@ -167,7 +171,7 @@
 
 
 @pytest.mark.parametrize("data", [b"P", b"POST /1 HTTP/1.1\r\nHost", call("/1", b"body")[:-1]])
-def test_half_a_call_ends_when_its_time_is_over(served: Served, monkeypatch, data: bytes) -> None:
+def test_an_incomplete_request_times_out(served: Served, monkeypatch, data: bytes) -> None:
     monkeypatch.setattr(serving, "REQUEST_NS", SHORT_NS)
     handled = []
     served.server.handler = lambda message: handled.append(message) or Response(200)
@@ -176,7 +180,7 @@
     assert handled == []
 
 
-def test_half_a_call_behind_a_whole_one_ends_when_its_time_is_over(served: Served, monkeypatch) -> None:
+def test_an_incomplete_pipelined_request_times_out(served: Served, monkeypatch) -> None:
     monkeypatch.setattr(serving, "REQUEST_NS", SHORT_NS)
 
     def converse() -> list[object]:
@@ -187,13 +191,13 @@
     assert served.loop.run(converse) == [[b"/1 ", None]]
 
 
-def test_an_idle_connection_ends_in_time(served: Served, monkeypatch) -> None:
+def test_an_idle_connection_times_out(served: Served, monkeypatch) -> None:
     monkeypatch.setattr(serving, "IDLE_NS", SHORT_NS)
     answer, end = served.talk(call("/1"), b"")
     assert (answer.body, end) == (b"/1 ", None)
 
 
-def test_a_caller_that_does_not_take_its_answer_is_given_up(monkeypatch) -> None:
+def test_a_client_that_does_not_read_its_response_is_disconnected(monkeypatch) -> None:
     monkeypatch.setattr(serving, "WRITE_NS", SHORT_NS)
     served = Served(lambda message: Response(200, b"x" * (16 << 20)))
 
@@ -207,7 +211,7 @@
     served.server.stop()
 
 
-def test_a_handler_that_fails_is_told_reported_and_ends_nothing_else(served: Served) -> None:
+def test_a_failing_handler_is_reported_and_affects_only_its_request(served: Served) -> None:
     def fail_once(message: http.Message) -> Response:
         if message.head.target == b"/fail":
             raise RuntimeError("planted")
@@ -229,7 +233,7 @@
     assert served.loop.run(converse) == [[[500], [b"/1 ", b"/2 "], 1, True]]
 
 
-def test_stopping_lets_the_answers_under_way_come_and_takes_no_more(served: Served) -> None:
+def test_stop_serves_open_connections_once_more_and_accepts_no_new_ones(served: Served) -> None:
     def converse() -> list[object]:
         peer = served.peer()
         peer.send(call("/1"))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP parsers: random cuts of valid messages, random garbage, and each kind of bad input."""
+"""The HTTP parsers: valid messages split at random places, random garbage, and each kind of invalid input."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @st.composite
 def messages(draw: st.DrawFn, response: bool) -> tuple[bytes, bytes, bytes]:
-    """A valid message as bytes, its first line and its body."""
+    """Generate a valid message: its bytes, its start line and its body."""
     body = draw(BODY)
     lines = b"".join(b"%b: %b\r\n" % field for field in draw(FIELDS))
     first = b"HTTP/1.1 200 OK" if response else b"POST /api/%b?q=1 HTTP/1.1" % draw(TOKEN)
@@ -41,7 +41,7 @@
 
 
 def read_cut(reader: http.Reader, data: bytes, cuts: list[int]) -> list[http.Message]:
-    """Feed the bytes in pieces; the messages that come out."""
+    """Feed the bytes in pieces; return the parsed messages."""
     found, at = [], 0
     for size in [*cuts, len(data)]:
         message = reader.feed(data[at : at + size])
@@ -56,7 +56,7 @@
 
 
 @given(st.lists(messages(response=False), min_size=1, max_size=3), CUTS)
-def test_requests_are_read_whole_however_they_are_cut(several: list, cuts: list[int]) -> None:
+def test_requests_are_read_whole_however_they_are_split(several: list, cuts: list[int]) -> None:
     reader = http.Reader()
     found = read_cut(reader, b"".join(raw for raw, _, _ in several), cuts)
     assert [m.body for m in found] == [body for _, _, body in several]
@@ -67,14 +67,14 @@
 
 
 @given(messages(response=True), CUTS)
-def test_responses_are_read_whole_however_they_are_cut(one: tuple, cuts: list[int]) -> None:
+def test_responses_are_read_whole_however_they_are_split(one: tuple, cuts: list[int]) -> None:
     reader = http.Reader(response=True)
     (message,) = read_cut(reader, b"HTTP/1.1 100 Continue\r\n\r\n" + one[0], cuts)
     assert (message.head.status, message.body, reader.empty) == (200, one[2], True)
 
 
 @given(messages(response=True), st.integers(1, 400))
-def test_a_truncated_message_is_never_whole(one: tuple, missing: int) -> None:
+def test_a_truncated_message_is_never_returned(one: tuple, missing: int) -> None:
     raw = one[0][: max(0, len(one[0]) - missing)]
     reader = http.Reader(response=True)
     assert reader.feed(raw) is None
@@ -89,15 +89,15 @@
     CUTS,
     st.data(),
 )
-def test_garbage_is_refused_or_waited_for_but_nothing_else(
+def test_garbage_is_rejected_or_incomplete_but_raises_nothing_else(
     raw: bytes, kind: bool, cuts: list, data: st.DataObject
 ) -> None:
-    spoilt = bytearray(raw)
+    corrupted = bytearray(raw)
     for at in data.draw(st.lists(st.integers(0, max(0, len(raw) - 1)), max_size=6)) if raw else ():
-        spoilt[at] = data.draw(st.integers(0, 255))
+        corrupted[at] = data.draw(st.integers(0, 255))
     reader = http.Reader(response=kind)
     try:
-        read_cut(reader, bytes(spoilt), cuts)
+        read_cut(reader, bytes(corrupted), cuts)
         reader.end()
     except (http.Malformed, http.Truncated):
         pass
@@ -134,7 +134,7 @@
         (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400),
     ],
 )
-def test_bad_requests_are_refused_by_kind(raw: bytes, status: int) -> None:
+def test_malformed_requests_are_rejected_with_their_status(raw: bytes, status: int) -> None:
     with pytest.raises(http.Malformed) as caught:
         http.Reader().feed(raw)
     assert caught.value.status == status
@@ -148,7 +148,7 @@
     assert http.Reader(response=True).feed(b"HTTP/1.1 204 No Content\r\n\r\n").body == b""
 
 
-def test_lines_pass_on_as_they_came_but_for_those_of_one_hop() -> None:
+def test_header_lines_are_passed_on_unchanged_except_hop_by_hop_ones() -> None:
     raw = (
         b"GET /api/k HTTP/1.1\r\nhOsT:  a \r\nConnection: close, X-Once\r\nX-Once: 1\r\nTE: t\r\n"
         b"X-Budget: 5m\r\n"
@@ -159,7 +159,7 @@
     assert not head.keeps_alive
 
 
-def test_what_is_written_is_read_again() -> None:
+def test_written_messages_can_be_parsed() -> None:
     sent = http.Reader().feed(http.request(b"POST", b"/api/k", b"X-A: 1\r\n", b"body"))
     assert (sent.head.method, sent.head.fields[b"x-a"], sent.body) == (b"POST", b"1", b"body")
     got = http.Reader(response=True).feed(http.response(503, b"no", b"Retry-After: 0.5\r\n", close=True))
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize(
     "ahead", [b"HTTP/1.1 101 Switching Protocols\r\n\r\n", b"HTTP/1.1 103 Hints\r\n\r\n" * 17]
 )
-def test_interim_answers_are_bounded_and_never_end_http(ahead: bytes) -> None:
-    # An answer that is always about to come would keep its attempt, and its server's connection, for good.
+def test_interim_responses_are_limited_and_protocol_switches_rejected(ahead: bytes) -> None:
+    # Endless interim responses would keep the attempt and its server's connection busy for ever.
     with pytest.raises(http.Malformed):
         http.Reader(response=True).feed(ahead + http.response(200, b"x"))
