--- a/iristrack/drill.py
+++ b/iristrack/drill.py
@@ -1,6 +1,7 @@
-"""Adapter: hosts one `Balancer` an instance and speaks the bench's wire on standard input and output.
+"""Adapter between the simulator's line protocol on standard input and output and one `Balancer` per instance.
 
-It translates and decides nothing. A line that cannot be read ends it with one plain line on standard error.
+It only translates and makes no decisions. A line that cannot be parsed ends the process with one line on standard
+error.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
     try:
         return table[fields[name]]
     except KeyError:
-        raise FieldError(f"{name}={fields.get(name)!r} is not known") from None
+        raise FieldError(f"{name}={fields.get(name)!r} is unknown") from None
 
 
 def _report(text: str | None) -> dict[str, float] | None:
@@ -64,7 +65,7 @@
         try:
             report[REPORT_NAMES.get(name, name)] = float(value)
         except ValueError:
-            raise FieldError(f"report value {pair!r} is no number") from None
+            raise FieldError(f"report value {pair!r} is not a number") from None
     return report
 
 
@@ -124,7 +125,7 @@
     try:
         data = b"" if octets == "-" else base64.b64decode(octets, validate=True)
     except binascii.Error:
-        raise FieldError(f"octets={octets!r} is no base64") from None
+        raise FieldError(f"octets={octets!r} is not base64") from None
     return mi.PeerMessage(read_int(f, "src", 0), data)
 
 
@@ -170,23 +171,23 @@
 
 
 class Adapter:
-    """Reads batches, drives the instances and collects each batch's reply."""
+    """Parses batches, passes their events to the instances and collects each batch's reply."""
 
     def __init__(self, errors: TextIO) -> None:
-        """`errors` takes the notes on what was skipped."""
+        """`errors` receives tracebacks and a line for each unknown message."""
         self.errors = errors
         self.balancers: dict[str, Balancer] = {}
         self.lists: dict[int, tuple[mi.ServerEntry, ...]] = {}
-        self.now: int | None = None  # the batch's clock; None between batches
+        self.now: int | None = None  # the batch's time; None between batches
         self.instance: str | None = None
         self.reply: list[str] = []
-        self.last_from: str | None = None
+        self.last_from: str | None = None  # instance of the reply's last FROM line
         self.set_id = 0
         self.items: list[mi.ServerEntry] = []
-        self.items_due = 0
+        self.items_due = 0  # entries of the current list still to come
 
     def line(self, line: str) -> list[str] | None:
-        """Take one line; at the end of a batch return the reply."""
+        """Process one line; return the reply at the end of a batch."""
         if not line:
             return None
         name, *parts = line.split("\t")
@@ -197,16 +198,16 @@
                 raise FieldError(f"field {part!r} has no value")
             fields[key] = value
         if self.items_due and name != "ITEM":
-            raise FieldError(f"{self.items_due} list entries are missing")
+            raise FieldError(f"{self.items_due} server list entries are missing")
         if name == "BATCH":
             if self.now is not None:
-                raise FieldError("a batch begins inside a batch")
+                raise FieldError("BATCH inside a batch")
             self.now = read_int(fields, "at_time_ns")
             self.instance = self.last_from = None
             self.reply = []
             return None
         if self.now is None:
-            raise FieldError(f"{name} stands outside a batch")
+            raise FieldError(f"{name} outside a batch")
         if name == "FLUSH":
             self.now = None
             self.reply.append("FINISHED")
@@ -228,7 +229,7 @@
 
     def _item(self, fields: Fields) -> None:
         if not self.items_due:
-            raise FieldError("a list entry without a list")
+            raise FieldError("ITEM without a server list")
         self.items.append(_entry(fields))
         self.items_due -= 1
         if not self.items_due:
@@ -237,14 +238,14 @@
     def _event(self, name: str, fields: Fields) -> None:
         instance = self.instance
         if instance is None:
-            raise FieldError(f"{name} before any instance is named")
+            raise FieldError(f"{name} before any instance was selected by AT")
         if name == "BOOT":
             seed = read_int(fields, "random_seed")
             self._guard(lambda: self.balancers.__setitem__(instance, Balancer(read_settings(fields), seed)))
             return
         balancer = self.balancers.get(instance)
         if balancer is None:
-            raise FieldError(f"{name} for {instance}, which is not started")
+            raise FieldError(f"{name} for instance {instance}, which is not started")
         if name == "DESTROY":
             del self.balancers[instance]
             return
@@ -264,7 +265,7 @@
             return mi.ServerList(kind, (), version)
         servers = self.lists.get(read_int(fields, "set_id"))
         if servers is None:
-            raise FieldError(f"list {fields['set_id']} was never given")
+            raise FieldError(f"server list {fields['set_id']} is not registered")
         return mi.ServerList(kind, servers, version)
 
     def _guard(self, call: Callable):
@@ -282,26 +283,26 @@
 
 
 def run(lines: Iterable[str], output: TextIO, errors: TextIO) -> int:
-    """Serve the wire until the input ends; the exit status."""
+    """Process lines until the input ends; return the exit status."""
     adapter = Adapter(errors)
     for number, line in enumerate(lines, 1):
         line = line.rstrip("\n")
         try:
             reply = adapter.line(line)
-        except FieldError as fault:
-            print(f"iristrack: line {number}: {fault}: {line[:200]}", file=errors)
+        except FieldError as error:
+            print(f"iristrack: line {number}: {error}: {line[:200]}", file=errors)
             return 2
         if reply is not None:
             output.write("\n".join(reply) + "\n")
             output.flush()
     if adapter.now is not None:
-        print("iristrack: the input ended inside a batch", file=errors)
+        print("iristrack: input ended inside a batch", file=errors)
         return 2
     return 0
 
 
 def main() -> int:
-    """Run on the process's own streams."""
+    """Run on standard input, output and error."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     return run(sys.stdin, sys.stdout, sys.stderr)
--- a/iristrack/net/front.py
+++ b/iristrack/net/front.py
@@ -266,7 +266,7 @@
 
     def _held(self) -> int:
         """About how many descriptors this process has open."""
-        return len(self.clients) + self.sidecar.links.open + handover.OWN
+        return len(self.clients) + self.sidecar.links.open + handover.OWN_DESCRIPTOR_COUNT
 
     def _resize(self, elsewhere: int) -> None:
         """Size connections for the configured limits, less the descriptors that the other process holds."""
--- a/iristrack/net/handover.py
+++ b/iristrack/net/handover.py
@@ -1,14 +1,15 @@
-"""The passage from an old process to a new one: the listening socket, then the clients' kept connections.
+"""Handover from an old process to its successor: the listening socket, then the idle connections of clients.
 
-This file owns the Unix socket in the private folder ($TMPDIR) and what goes over it. It must never read or write a
-client's bytes, decide anything, or stop a start: where there is no predecessor to speak with, the new process begins
-by itself.
+This module holds the Unix socket in the private folder ($TMPDIR) and its messages. It never reads or writes a client's
+bytes, makes no decisions, and never prevents a start: without a predecessor that answers, the new process starts on
+its own.
 
-Messages are single packets of JSON, at most `MOST_BYTES` long. The successor asks
+Messages are single JSON packets of at most `MAX_MESSAGE_BYTES`. The successor requests
 `{"v":2,"name":"n3","listen":"host:port"}`. The predecessor answers `{"v":2,"held":N}` with the listening socket, or
-closes. Later it sends `{"held":N,"fresh":[..]}` with connections, one `fresh` for each: has nothing been asked on it
-yet? `held` is how many descriptors it has itself.
-The file's name tells whose it is: a sidecar of another name, or at another address, in the same folder is a stranger.
+closes the connection. Later it sends `{"held":N,"fresh":[..]}` with connections; each `fresh` says whether no request
+has been sent on that connection yet. `held` is the number of descriptors that the predecessor itself still has open.
+The name of the socket file contains a checksum of the sidecar's name and address: sidecars with another name or
+address in the same folder do not interfere.
 """
 
 from __future__ import annotations
@@ -31,31 +32,31 @@
 from iristrack.runtime.scheduler import Cancelled, Scheduler, clock
 
 NAME = "iristrack-handover"
-ASK_S = 2.0  # the predecessor must have answered by then; the platform waits 6 s for the new process
-SEND_NS = 2 * mi.NS_PER_S  # a successor that takes nothing for so long is none
-PAUSE_NS = 10 * mi.NS_PER_MS
-MOST_BYTES = 4096
-MOST_PASSED = 32  # connections in one packet
-OWN = 12  # descriptors that a process has beside its connections
+REQUEST_TIMEOUT_S = 2.0  # for the predecessor's answer; the platform waits 6 s for the new process
+SEND_TIMEOUT_NS = 2 * mi.NS_PER_S  # a successor that receives nothing for this long is dropped
+RETRY_SEND_NS = 10 * mi.NS_PER_MS
+MAX_MESSAGE_BYTES = 4096
+MAX_CONNECTIONS_PER_MESSAGE = 32
+OWN_DESCRIPTOR_COUNT = 12  # open descriptors of a process besides its connections
 
 _CREDENTIALS = struct.Struct("3i")
 
 
 def file_name(name: str, listen: Address) -> str:
-    """What the Unix socket of this sidecar is called in the folder."""
+    """Return the name of this sidecar's Unix socket in the folder."""
     return f"{NAME}-{crc32(json.dumps([name, *listen]).encode()):08x}"
 
 
 class Handover:
-    """Both ends: what this process inherits, and what it leaves to the next one."""
+    """Both ends of a handover: what this process inherits, and what it passes to its successor."""
 
     def __init__(self, scheduler: Scheduler, folder: str, name: str, listen: Address) -> None:
-        """Nothing is opened yet. An empty `folder` means that there is neither predecessor nor successor."""
+        """Create without opening anything. With an empty `folder` there is neither predecessor nor successor."""
         self.scheduler = scheduler
-        self._asked = {"v": 2, "name": name, "listen": f"{listen[0]}:{listen[1]}"}
+        self._request = {"v": 2, "name": name, "listen": f"{listen[0]}:{listen[1]}"}
         self._file = file_name(name, listen)
         self._folder = folder
-        self._at = -1
+        self._folder_fd = -1
         self._predecessor: socket.socket | None = None
         self._successor: socket.socket | None = None
         self._server: socket.socket | None = None
@@ -69,29 +70,32 @@
     # ---- the new process
 
     def inherit(self) -> tuple[socket.socket, int] | None:
-        """The predecessor's listening socket and how many descriptors it holds; it waits for 2 s at most."""
+        """Return the predecessor's listening socket and its number of open descriptors, or None.
+
+        Waits up to `REQUEST_TIMEOUT_S`.
+        """
         if not self._folder:
             return None
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            sock.settimeout(ASK_S)
+            sock.settimeout(REQUEST_TIMEOUT_S)
             sock.connect(self._path(self._file))
-            sock.send(json.dumps(self._asked).encode())
-            data, passed, _, _ = socket.recv_fds(sock, MOST_BYTES, 1)
-        except OSError as fault:
+            sock.send(json.dumps(self._request).encode())
+            data, fds, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, 1)
+        except OSError as error:
             sock.close()
-            if not isinstance(fault, FileNotFoundError):
-                logger.info("no predecessor answers: {}", fault)
+            if not isinstance(error, FileNotFoundError):
+                logger.info("no predecessor answers: {}", error)
             return None
-        found = [socket.socket(fileno=fd) for fd in passed]
+        received = [socket.socket(fileno=fd) for fd in fds]
         try:
             held = int(json.loads(data)["held"])
-            listener = found[0]
+            listener = received[0]
             if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                raise ValueError("what was passed does not listen")
-        except (ValueError, TypeError, KeyError, IndexError, OSError, RecursionError) as fault:
-            logger.warning("the predecessor's answer is left out: {!r}", fault)
-            for each in (sock, *found):
+                raise ValueError("the received socket is not a listening socket")
+        except (ValueError, TypeError, KeyError, IndexError, OSError, RecursionError) as error:
+            logger.warning("invalid answer of the predecessor ignored: {!r}", error)
+            for each in (sock, *received):
                 each.close()
             return None
         sock.setblocking(False)
@@ -105,19 +109,23 @@
         shrink: Callable[[int], None],
         alone: Callable[[], None],
     ) -> None:
-        """Take what the predecessor passes: connections, how much it still holds, and its end."""
+        """Receive the predecessor's messages.
+
+        `adopt` is called for each connection, `shrink` with the predecessor's number of open descriptors, and `alone`
+        when the predecessor is gone or there is none.
+        """
         sock = self._predecessor
         if sock is None:
             alone()
             return
 
-        def take() -> None:
+        def receive() -> None:
             try:
-                data, passed, _, _ = socket.recv_fds(sock, MOST_BYTES, MOST_PASSED)
+                data, fds, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_CONNECTIONS_PER_MESSAGE)
             except BlockingIOError:
                 return
             except OSError:
-                data, passed = b"", []
+                data, fds = b"", []
             if not data:
                 self.scheduler.unwatch(sock.fileno())
                 sock.close()
@@ -125,18 +133,18 @@
                 logger.info("the predecessor has left")
                 alone()
                 return
-            taken = [socket.socket(fileno=fd) for fd in passed]
+            clients = [socket.socket(fileno=fd) for fd in fds]
             try:
-                told = json.loads(data)
-                shrink(int(told["held"]))
-                fresh = told["fresh"]
-            except (ValueError, TypeError, KeyError, RecursionError) as fault:
-                logger.warning("a message of the predecessor's is left out: {!r}", fault)
+                message = json.loads(data)
+                shrink(int(message["held"]))
+                fresh = message["fresh"]
+            except (ValueError, TypeError, KeyError, RecursionError) as error:
+                logger.warning("invalid message of the predecessor ignored: {!r}", error)
                 fresh = []
-            for i, client in enumerate(taken):
+            for i, client in enumerate(clients):
                 adopt(client, bool(fresh[i]) if i < len(fresh) else True)
 
-        self.scheduler.watch(sock.fileno(), take)
+        self.scheduler.watch(sock.fileno(), receive)
 
     # ---- the old process
 
@@ -147,9 +155,11 @@
         shared: Callable[[], None],
         give_back: Callable[[socket.socket, bool], None],
     ) -> None:
-        """Be there for a successor; `shared` is called when one comes and when it goes.
+        """Listen for a successor.
 
-        Connections that it did not take are given back.
+        `listener` and `held` return the listening socket and the number of open descriptors. `shared` is called when a
+        successor arrives, when it leaves and when a transfer ends. Connections that it did not receive go to
+        `give_back`.
         """
         if not self._folder:
             return
@@ -163,8 +173,8 @@
             os.chmod(self._path(own), 0o600)
             server.listen(4)
             os.replace(self._path(own), self._path(self._file))
-        except OSError as fault:
-            logger.warning("no successor can be spoken with: {}", fault)
+        except OSError as error:
+            logger.warning("handover to a successor is not possible: {}", error)
             server.close()
             return
         self._server = server
@@ -172,12 +182,12 @@
 
     @property
     def has_successor(self) -> bool:
-        """Is there another process that takes over what this one leaves?"""
+        """Return whether a successor is connected."""
         return self._successor is not None
 
     @property
     def idle(self) -> bool:
-        """Is nothing on its way to the successor?"""
+        """Return whether no connection is being passed to the successor."""
         return not self._outgoing and not self._sending
 
     def _accept(self) -> None:
@@ -191,31 +201,31 @@
             sock.close()
             return
         self._successor = sock
-        self.scheduler.watch(sock.fileno(), lambda: self._hear(sock))
+        self.scheduler.watch(sock.fileno(), lambda: self._on_request(sock))
 
-    def _hear(self, sock: socket.socket) -> None:
+    def _on_request(self, sock: socket.socket) -> None:
         try:
-            data = sock.recv(MOST_BYTES)
+            data = sock.recv(MAX_MESSAGE_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         try:
-            if data and json.loads(data) == self._asked:
+            if data and json.loads(data) == self._request:
                 listener = self._listener()
                 if listener is not None:
                     message = json.dumps({"v": 2, "held": self._held()}).encode()
                     socket.send_fds(sock, [message], [listener.fileno()])
-                    logger.info("a successor listens too")
+                    logger.info("the listening socket was passed to a successor")
                     self._shared()
                     return
             if data:
-                logger.warning("a successor asked for what is not here")
-        except (OSError, ValueError, RecursionError) as fault:
-            logger.warning("a successor could not be answered: {!r}", fault)
-        self._lose(sock)
+                logger.warning("request of an unknown successor refused")
+        except (OSError, ValueError, RecursionError) as error:
+            logger.warning("a successor could not be answered: {!r}", error)
+        self._drop_successor(sock)
 
-    def _lose(self, sock: socket.socket) -> None:
+    def _drop_successor(self, sock: socket.socket) -> None:
         if self._successor is sock:
             self.scheduler.unwatch(sock.fileno())
             sock.close()
@@ -224,17 +234,19 @@
             self._shared()
 
     def pass_on(self, client: socket.socket, fresh: bool) -> None:
-        """Give a client's connection to the successor and close it here; nothing may be under way on it."""
+        """Pass a client's connection to the successor and close it here; no request may be in progress on it."""
         self._outgoing.append((client, fresh))
         if not self._sending:
             self._sending = True
             self.scheduler.spawn("handover", self._send)
 
     def _send(self) -> None:
-        deadline = clock() + SEND_NS
+        deadline = clock() + SEND_TIMEOUT_NS
         try:
             while self._outgoing and self._successor is not None:
-                batch = [self._outgoing[i] for i in range(min(MOST_PASSED, len(self._outgoing)))]
+                batch = [
+                    self._outgoing[i] for i in range(min(MAX_CONNECTIONS_PER_MESSAGE, len(self._outgoing)))
+                ]
                 message = {"held": self._held() - len(batch), "fresh": [int(fresh) for _, fresh in batch]}
                 fds = array.array("i", [client.fileno() for client, _ in batch])
                 try:
@@ -242,32 +254,32 @@
                         [json.dumps(message).encode()], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, fds)]
                     )
                 except BlockingIOError:
-                    # Its descriptor is watched for reading already: look again a little later.
+                    # The descriptor is already watched for reading and cannot be waited for: retry after a pause.
                     if clock() > deadline:
                         raise
-                    self.scheduler.sleep(PAUSE_NS)
+                    self.scheduler.sleep(RETRY_SEND_NS)
                     continue
-                except OSError as fault:
-                    if fault.errno != errno.ETOOMANYREFS or clock() > deadline:
+                except OSError as error:
+                    if error.errno != errno.ETOOMANYREFS or clock() > deadline:
                         raise
-                    self.scheduler.sleep(PAUSE_NS)  # until the successor has taken some
+                    self.scheduler.sleep(RETRY_SEND_NS)  # until the successor has received some descriptors
                     continue
-                deadline = clock() + SEND_NS
+                deadline = clock() + SEND_TIMEOUT_NS
                 for _ in batch:
                     self._outgoing.popleft()[0].close()
-        except (OSError, Cancelled) as fault:
-            logger.warning("connections could not be passed on: {!r}", fault)
+        except (OSError, Cancelled) as error:
+            logger.warning("connections could not be passed to the successor: {!r}", error)
             if self._successor is not None:
-                self._lose(self._successor)  # who takes nothing is no successor
+                self._drop_successor(self._successor)
         finally:
-            left, self._outgoing = self._outgoing, deque()
+            unsent, self._outgoing = self._outgoing, deque()
             self._sending = False
-            for client, fresh in left:
+            for client, fresh in unsent:
                 self._give_back(client, fresh)
             self._shared()
 
     def _path(self, name: str) -> str:
-        """A path short enough for a Unix socket's address, however long the folder's own is."""
-        if self._at < 0:
-            self._at = os.open(self._folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
-        return f"/proc/self/fd/{self._at}/{name}"
+        """Return a path through /proc, because the folder's own may be too long for a Unix socket address."""
+        if self._folder_fd < 0:
+            self._folder_fd = os.open(self._folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
+        return f"/proc/self/fd/{self._folder_fd}/{name}"
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The wire adapter: what it reads, what it writes and how it ends."""
+"""The line protocol adapter: parsing of events, output of actions, and errors."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return status, output.getvalue().splitlines(), errors.getvalue()
 
 
-def test_a_request_is_sent_and_its_end_is_read() -> None:
+def test_a_request_is_sent_and_its_result_is_parsed() -> None:
     status, lines, errors = run(
         START + DEMAND + "FLUSH\n\nBATCH\tat_time_ns=2000000\nAT\tsidecar=sidecar/0\n"
         "ENDED\tid=c:a\tverdict=0\tfinal=0\ttime_taken_ns=1\tserver=10.0.0.1:80\tcopy=0\treport=cpu:0.5,x:2\n"
@@ -52,7 +52,7 @@
     assert run("BATCH\tat_time_ns=1\nFLUSH\n") == (0, ["FINISHED"], "")
 
 
-def test_every_event_is_understood() -> None:
+def test_every_event_is_parsed() -> None:
     events = [
         "HEADERS\tid=c:a\ttime_taken_ns=5\tserver=10.0.0.1:80\tcopy=0",
         "ABORTED\tid=c:a",
@@ -121,41 +121,43 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "number", "fault"),
+    ("text", "number", "message"),
     [
-        ("FLUSH\n", 1, "stands outside a batch"),
+        ("FLUSH\n", 1, "FLUSH outside a batch"),
         ("BATCH\tat_time_ns=soon\n", 1, "is no whole number"),
         ("BATCH\n", 1, "at_time_ns is missing"),
         ("BATCH\tat_time_ns\n", 1, "has no value"),
-        ("BATCH\tat_time_ns=1\nBATCH\tat_time_ns=1\n", 2, "inside a batch"),
+        ("BATCH\tat_time_ns=1\nBATCH\tat_time_ns=1\n", 2, "BATCH inside a batch"),
         ("BATCH\tat_time_ns=1\nWAKEUP\thandle=1\n", 2, "before any instance"),
-        ("BATCH\tat_time_ns=1\nAT\tsidecar=sidecar/9\nWAKEUP\thandle=1\n", 3, "not started"),
-        ("BATCH\tat_time_ns=1\nITEM\tserver=a\n", 2, "without a list"),
+        ("BATCH\tat_time_ns=1\nAT\tsidecar=sidecar/9\nWAKEUP\thandle=1\n", 3, "which is not started"),
+        ("BATCH\tat_time_ns=1\nITEM\tserver=a\n", 2, "ITEM without a server list"),
         (START + "DEMAND\tid=c:a\tcategory=read\n", 8, "not_after_ns is missing"),
         (START + "DEMAND\tid=c:a\tcategory=read\tnot_after_ns=x\n", 8, "is no whole number"),
-        (START + "ENDED\tid=c:a\tverdict=99\tserver=s\n", 8, "is not known"),
-        (START + "ENDED\tid=c:a\tverdict=1\tserver=s\treport=cpu:hot\n", 8, "is no number"),
-        (START + "MEMBERSHIP\tset_id=9\tkind=F\tgen=1\n", 8, "was never given"),
-        (START + "REGISTER\tset_id=1\tmembers_list=1\nFLUSH\n", 9, "entries are missing"),
-        (START + "WHISPER\tsrc=1\toctets=***\n", 8, "no base64"),
+        (START + "ENDED\tid=c:a\tverdict=99\tserver=s\n", 8, "is unknown"),
+        (START + "ENDED\tid=c:a\tverdict=1\tserver=s\treport=cpu:hot\n", 8, "is not a number"),
+        (START + "MEMBERSHIP\tset_id=9\tkind=F\tgen=1\n", 8, "is not registered"),
+        (START + "REGISTER\tset_id=1\tmembers_list=1\nFLUSH\n", 9, "server list entries are missing"),
+        (START + "WHISPER\tsrc=1\toctets=***\n", 8, "is not base64"),
     ],
 )
-def test_a_line_that_cannot_be_read_ends_it_with_one_plain_line(text: str, number: int, fault: str) -> None:
+def test_an_invalid_line_ends_the_process_with_one_error_line(text: str, number: int, message: str) -> None:
     status, _, errors = run(text)
     assert status == 2
     assert errors.count("\n") == 1
     assert errors.startswith(f"iristrack: line {number}: ")
-    assert fault in errors
+    assert message in errors
 
 
 def test_input_that_ends_inside_a_batch_is_an_error() -> None:
     status, _, errors = run(START)
-    assert (status, errors) == (2, "iristrack: the input ended inside a batch\n")
+    assert (status, errors) == (2, "iristrack: input ended inside a batch\n")
 
 
-def test_a_failure_of_the_module_is_reported_on_the_wire() -> None:
+def test_a_failure_of_the_balancer_is_reported_in_the_reply() -> None:
     status, lines, errors = run(START.replace("promise_ns=400000000", "promise_ns=0") + "FLUSH\n")
-    assert status == 2  # the instance never started, so the list that follows has nobody to go to
+    assert (
+        status == 2
+    )  # the instance did not start, so the server list that follows is for an unknown instance
     assert "Traceback" in errors
     status, lines, errors = run(
         START.replace("promise_ns=400000000", "promise_ns=0").split("REGISTER")[0] + "FLUSH\n"
@@ -168,14 +170,14 @@
     assert status == 0
 
 
-def test_the_process_speaks_on_its_standard_streams() -> None:
-    done = subprocess.run(
+def test_the_process_uses_its_standard_streams() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "iristrack.drill"],
         input=START + DEMAND + "FLUSH\n",
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 0
-    assert done.stdout.endswith("FINISHED\n")
-    assert done.stderr == ""
+    assert completed.returncode == 0
+    assert completed.stdout.endswith("FINISHED\n")
+    assert completed.stderr == ""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new process takes over from an old one under load: nothing is turned back, nothing is lost, the old one leaves."""
+"""Handover between processes under load: no request is refused or lost, and the old process ends."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     return {"admin_addr": f"127.0.0.1:{free_port()}"}
 
 
-def taken_over(stage: Stage, old: Program, folder: Path) -> Program:
+def start_successor(stage: Stage, old: Program, folder: Path) -> Program:
     new = stage.start(beside=old, tmpdir=folder, **admin())
     until(new.says_yes)
     return new
 
 
-def test_kept_connections_go_on_and_what_is_under_way_ends_where_it_began(
+def test_idle_connections_are_passed_on_and_requests_finish_in_the_old_process(
     stage: Stage, tmp_path: Path
 ) -> None:
-    goes_on = threading.Event()
+    released = threading.Event()
 
-    def held(message, sock):
+    def delayed(message, sock):
         if message.head.fields[b"x-call-id"] == b"slow":
-            goes_on.wait(60)
+            released.wait(60)
         return serve(message, sock)
 
-    stage.pool("s1", held)
+    stage.pool("s1", delayed)
     old = stage.start(tmpdir=tmp_path, **admin())
     kept = [Client(old.port) for _ in range(40)]
     for i, client in enumerate(kept):
@@ -44,22 +44,22 @@
     half.sock.sendall(call("half")[:30])
     slow.sock.sendall(call("slow"))
     until(lambda: len(stage.pools["s1"].heads) == 41)
-    new = taken_over(stage, old, tmp_path)
+    new = start_successor(stage, old, tmp_path)
     old.process.send_signal(signal.SIGTERM)
     until(lambda: "stopping" in old.log.read_text())
-    # The very same connections are served on, also the one on which nothing was asked yet.
+    # The same connections are served by the new process, including the one without a request so far.
     for i, client in enumerate([*kept, fresh]):
         assert client.exchange(call(f"b{i}")).head.status == 200
     half.sock.sendall(call("half")[30:])
     assert half.read().head.status == 200
-    assert old.process.poll() is None  # it owes an answer still
-    goes_on.set()
+    assert old.process.poll() is None  # a request is still in flight
+    released.set()
     assert slow.read().head.status == 200
     assert slow.exchange(call("after")).head.status == 200
     assert old.process.wait(60) == 0
     assert sum(new.figures()[f"succeeded.{name}"] for name in ("view", "pay")) >= 42
     until(lambda: "the predecessor has left" in new.log.read_text())
-    # And the next version takes over from this one.
+    # A third process takes over from the second one.
     (tmp_path / "third").mkdir()
     third = Program(tmp_path / "third", stage.discovery, beside=new, tmpdir=tmp_path, **admin())
     stage.programs.append(third)
@@ -69,10 +69,10 @@
     assert new.process.wait(60) == 0
 
 
-def test_what_waits_in_the_accept_queue_is_not_lost(stage: Stage, tmp_path: Path) -> None:
+def test_connections_in_the_accept_queue_are_not_lost(stage: Stage, tmp_path: Path) -> None:
     stage.pool("s1")
     old = stage.start(tmpdir=tmp_path, **admin())
-    new = taken_over(stage, old, tmp_path)
+    new = start_successor(stage, old, tmp_path)
     for program in (old, new):
         program.process.send_signal(signal.SIGSTOP)
     waiting = [Client(old.port) for _ in range(50)]
@@ -85,23 +85,25 @@
     assert old.process.wait(60) == 0
 
 
-def test_a_successor_that_dies_leaves_everything_to_the_old_process(stage: Stage, tmp_path: Path) -> None:
+def test_after_the_successor_is_killed_the_old_process_serves_on(stage: Stage, tmp_path: Path) -> None:
     stage.pool("s1")
     old = stage.start(tmpdir=tmp_path, **admin())
     kept = Client(old.port)
     assert kept.exchange(call("r1")).head.status == 200
-    new = taken_over(stage, old, tmp_path)
+    new = start_successor(stage, old, tmp_path)
     new.process.kill()
     until(lambda: "the successor has left" in old.log.read_text())
     assert kept.exchange(call("r2")).head.status == 200
     assert [old.ask(f"n{i}").head.status for i in range(5)] == [200] * 5
-    old.process.send_signal(signal.SIGTERM)  # a plain end again: a grace, then answers that close
+    old.process.send_signal(signal.SIGTERM)  # without a successor: a grace period, then responses that close
     assert kept.exchange(call("r3")).head.status == 200
     assert old.process.wait(60) == 0
 
 
 @pytest.mark.parametrize("left", ["file", "folder", "dead socket", "mute socket"])
-def test_what_lies_in_the_folder_never_stops_a_start(stage: Stage, tmp_path: Path, left: str) -> None:
+def test_anything_at_the_socket_path_does_not_prevent_a_start(
+    stage: Stage, tmp_path: Path, left: str
+) -> None:
     port = free_port()
     path = tmp_path / file_name("n0", ("127.0.0.1", port))
     mute = None
@@ -113,40 +115,52 @@
         mute = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         mute.bind(str(path))
         if left == "mute socket":
-            mute.listen(1)  # it takes the question and says nothing
+            mute.listen(1)  # it accepts the request and does not answer
     stage.pool("s1")
     old = stage.start(tmpdir=tmp_path, port=port, **admin())
     assert old.ask("r1").head.status == 200
-    if left == "folder":  # they cannot meet there: both listen at the address, and the old one ends plainly
+    if (
+        left == "folder"
+    ):  # no handover is possible: both listen at the address, and the old one stops without one
         kept = Client(old.port)
         assert kept.exchange(call("r2")).head.status == 200
-        new = taken_over(stage, old, tmp_path)
+        new = start_successor(stage, old, tmp_path)
         old.process.send_signal(signal.SIGTERM)
         assert kept.exchange(call("r3")).head.status == 200
         assert old.process.wait(60) == 0
         assert new.ask("r4").head.status == 200
 
 
-def test_who_asks_for_what_is_not_here_gets_nothing(stage: Stage, tmp_path: Path) -> None:
+def test_an_invalid_handover_request_gets_no_answer(stage: Stage, tmp_path: Path) -> None:
     stage.pool("s1")
     old = stage.start(tmpdir=tmp_path, **admin())
-    mine = f'{{"v":2,"name":"n1","listen":"127.0.0.1:{old.port}"}}'.encode()  # another customer's
-    for asked in (b"{}", b"\xff" * 3000, b'{"v":2,"name":"n0","listen":"10.0.0.1:1"}', b"[" * 3000, mine):
+    other_name = (
+        f'{{"v":2,"name":"n1","listen":"127.0.0.1:{old.port}"}}'.encode()
+    )  # another customer's sidecar
+    for request in (
+        b"{}",
+        b"\xff" * 3000,
+        b'{"v":2,"name":"n0","listen":"10.0.0.1:1"}',
+        b"[" * 3000,
+        other_name,
+    ):
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             sock.settimeout(60)
             sock.connect(str(tmp_path / file_name("n0", ("127.0.0.1", old.port))))
-            sock.send(asked)
+            sock.send(request)
             assert sock.recv(100) == b""
     assert old.ask("r1").head.status == 200
 
 
-def test_two_sidecars_in_one_folder_are_strangers(stage: Stage, tmp_path: Path) -> None:
+def test_two_sidecars_in_one_folder_do_not_interfere(stage: Stage, tmp_path: Path) -> None:
     stage.pool("s1")
     one = stage.start(tmpdir=tmp_path, **admin())
     (tmp_path / "other").mkdir()
     other = Program(tmp_path / "other", stage.discovery, tmpdir=tmp_path, name="n1", **admin())
     stage.programs.append(other)
-    new = taken_over(stage, one, tmp_path)  # who came later in the folder is in nobody's way
+    new = start_successor(
+        stage, one, tmp_path
+    )  # the sidecar that came later to the folder does not interfere
     assert "shared" in new.log.read_text() and "shared" not in other.log.read_text()
     kept = Client(one.port)
     assert kept.exchange(call("r1")).head.status == 200
@@ -155,7 +169,7 @@
     assert one.process.wait(60) == 0 and "successor" not in other.log.read_text()
 
 
-def test_both_together_hold_no_more_descriptors_than_the_limit(tmp_path: Path) -> None:
+def test_both_processes_together_stay_within_the_descriptor_limit(tmp_path: Path) -> None:
     from stage import ROOT
 
     from iristrack.config import load_config
