--- a/iristrack/controlplane/prefix_cache_watch.py
+++ b/iristrack/controlplane/prefix_cache_watch.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from iristrack.http1 import messages as http
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.placement.ranking import hash64, mix64
 from iristrack.prefix_index.catalog import KeptCatalog, changes_of_events, changes_of_list, coalesce_changes
 from iristrack.prefix_index.kv_events import (
@@ -157,7 +157,7 @@
             self._all_changes.append(change)
 
     def _watch(self, holder: str) -> None:
-        caller = Caller(self.scheduler, parse_address(holder))
+        caller = HttpClient(self.scheduler, parse_address(holder))
         cursor = START_CURSOR
         listed_at: int | None = None
         failed = False
@@ -181,7 +181,7 @@
             caller.close()
             raise
 
-    def _fetch_events(self, caller: Caller, holder: str, cursor: Cursor) -> tuple[Cursor, bool]:
+    def _fetch_events(self, caller: HttpClient, holder: str, cursor: Cursor) -> tuple[Cursor, bool]:
         """Fetch the changes since the cursor; return the next cursor and whether events were lost."""
         target = b"/kv-events?since=%d" % cursor.since
         answer = parse_events(_call(caller, target, b"Wait-Ms: %d\r\n" % LONG_POLL_MS))
@@ -191,14 +191,14 @@
         self._publish(changes_of_events(holder, step.events))
         return step.cursor, answer.lost
 
-    def _fetch_list(self, caller: Caller, holder: str) -> Cursor:
+    def _fetch_list(self, caller: HttpClient, holder: str) -> Cursor:
         """Fetch the holder's whole list; it is priced, so it is fetched only after lost events, as after a start."""
         answer = parse_list(_call(caller, b"/kv-list", b""))
         self._publish(changes_of_list(holder, answer.owned))
         return Cursor(answer.epoch, answer.next_token)
 
 
-def _call(caller: Caller, target: bytes, lines: bytes) -> bytes:
+def _call(caller: HttpClient, target: bytes, lines: bytes) -> bytes:
     answer = caller.call(b"GET", target, lines, b"", clock() + CALL_TIMEOUT_NS)
     if answer.head.status != 200:
         raise MalformedAnswer(f"status {answer.head.status}")
--- a/iristrack/controlplane/weight_orders.py
+++ b/iristrack/controlplane/weight_orders.py
@@ -8,7 +8,7 @@
 from iristrack.engines.reports import MalformedReport, Report, read_report
 from iristrack.engines.rolling_upgrade import Upgrade
 from iristrack.http1 import messages as http
-from iristrack.http1.fetching import Caller
+from iristrack.http1.fetching import HttpClient
 from iristrack.runtime.scheduler import Scheduler
 from iristrack.wire.dialing import parse_address
 
@@ -37,7 +37,7 @@
 
         Call this from a task.
         """
-        caller = Caller(self.scheduler, parse_address(upgrade.address))
+        caller = HttpClient(self.scheduler, parse_address(upgrade.address))
         began = self.scheduler.now()
         ordered = False
         try:
@@ -54,14 +54,14 @@
         finally:
             caller.close()
 
-    def _report(self, caller: Caller) -> Report | None:
+    def _report(self, caller: HttpClient) -> Report | None:
         try:
             answer = caller.call(b"GET", b"/report", b"", b"", self.scheduler.now() + CALL_TIMEOUT_NS)
             return read_report(answer.body) if answer.head.status == 200 else None
         except (OSError, http.Malformed, http.Truncated, MalformedReport):
             return None
 
-    def order(self, caller: Caller, upgrade: Upgrade, report: Report) -> bool:
+    def order(self, caller: HttpClient, upgrade: Upgrade, report: Report) -> bool:
         """Send the order if the lease is still valid; return whether the server is known to have accepted it."""
         if not self.lease.may_act(self.scheduler.now()):
             return False
--- a/iristrack/dataplane/clients.py
+++ b/iristrack/dataplane/clients.py
@@ -16,7 +16,7 @@
     Scheduler,
     Task,
     clock,
-    listening,
+    open_listener,
     send_all,
 )
 
@@ -131,13 +131,13 @@
         self.exchange = exchange
         self.max_connections = max_connections
         self.max_body_bytes = 4 << 20
-        self.max_head_bytes = http.MAX_HEAD
+        self.max_head_bytes = http.MAX_HEAD_BYTES
         self.header_timeout_ns = 3 * NS_PER_S
         self.idle_timeout_ns = 15 * NS_PER_S
         self.connections: set[ClientConnection] = set()
         self.closing = False  # connections close after the response in progress
         self.on_empty: Callable[[], None] | None = None
-        self._listener: socket.socket | None = listening(address, LISTEN_BACKLOG)
+        self._listener: socket.socket | None = open_listener(address, LISTEN_BACKLOG)
         self._accepting = False
         self._resume()
 
--- a/tests/dataplane/harness.py
+++ b/tests/dataplane/harness.py
@@ -25,7 +25,7 @@
 from iristrack.http1.connection import connect
 from iristrack.net.links import Links
 from iristrack.placement.servers import ListedServer, Server
-from iristrack.runtime.scheduler import READ, WRITE, Scheduler, clock, listening, send_all
+from iristrack.runtime.scheduler import READ, WRITE, Scheduler, clock, open_listener, send_all
 from iristrack.settings import read_settings
 
 NS_PER_S = 1_000_000_000
@@ -104,7 +104,7 @@
         self.requests: list[http.Message] = []
         self.opened = 0
         self.ended = 0  # connections that `wait_until_closed` saw close
-        self._listener = listening(LOOPBACK, 16)
+        self._listener = open_listener(LOOPBACK, 16)
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
         scheduler.watch(self._listener.fileno(), self._accept)
@@ -121,7 +121,7 @@
         self.scheduler.spawn("fake model server", self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
-        reader = http.Reader(limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+        reader = http.Reader(limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
         try:
             while sock.fileno() >= 0:
                 message = None if reader.empty else reader.feed(b"")
@@ -181,7 +181,7 @@
     def __init__(self, harness: Harness) -> None:
         self.scheduler = harness.scheduler
         self.sock = connect(harness.scheduler, harness.address, clock() + TEST_TIMEOUT_NS)
-        self.reader = http.Reader(response=True, limit=http.LONGEST_BODY, whole=http.LONGEST_BODY)
+        self.reader = http.Reader(response=True, limit=http.MAX_BODY_BYTES, whole=http.MAX_BODY_BYTES)
 
     def send(self, data: bytes) -> None:
         send_all(self.sock, data, lambda: self.scheduler.wait(self.sock.fileno(), WRITE, None))
